--- a/crates/coordination/src/gossip.rs
+++ b/crates/coordination/src/gossip.rs
@@ -11,11 +11,11 @@
 
 /// Names a call of this host until it is answered.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Call(pub u64);
+pub struct CallId(pub u64);
 
 /// Names a call of another host until this one answers it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Asked(pub u64);
+pub struct InboundCallId(pub u64);
 
 /// Tells what a message is for.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -27,7 +27,7 @@
     /// Asks for a sign of life.
     Probe,
     /// Asks for all reports and brings all that the sender has; the answer has the same form.
-    Pull(Vec<Record>),
+    PushPull(Vec<Record>),
     /// Asks to probe another host.
     Relay {
         /// Holds the address of the host.
@@ -56,13 +56,13 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Brings the answer to a call of this host.
-    Answered(Call, Message),
+    Answered(CallId, Message),
     /// Brings a message from another host, which waits for an answer.
-    Asked(Asked, Message),
+    Called(InboundCallId, Message),
     /// Makes this host want no new work.
     Drain,
     /// Tells that a call of this host failed.
-    Failed(Call),
+    Failed(CallId),
     /// Makes this host say that it ends.
     Leave,
     /// Tells how loaded this host is.
@@ -77,13 +77,13 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Has a call of another host answered.
-    Answer(Asked, Message),
+    Answer(InboundCallId, Message),
     /// Has a host called.
-    Ask {
+    Call {
         /// Holds the address of the host.
         address: SocketAddr,
         /// Names the call.
-        call: Call,
+        call: CallId,
         /// Names the host, where it is known.
         host: Option<String>,
         /// Holds the message.
@@ -113,7 +113,7 @@
     /// Tells that a host answers this one again.
     LinkMended(String),
     /// Tells that the load of a host changed.
-    Loaded(String),
+    LoadChanged(String),
     /// Tells that another host uses the name of this one.
     NameTaken(SocketAddr),
     /// Tells that this host stood still for that many milliseconds.
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -14,12 +14,12 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-use crate::gossip::Asked;
 use crate::gossip::Body;
-use crate::gossip::Call;
+use crate::gossip::CallId;
 use crate::gossip::Change;
 use crate::gossip::Effect;
 use crate::gossip::Event;
+use crate::gossip::InboundCallId;
 use crate::gossip::Message;
 use crate::host::Profile;
 use crate::host::Standing;
@@ -35,9 +35,9 @@
 /// Gives the time that a probe may take before others are asked, in milliseconds.
 pub const PROBE_TIMEOUT_MS: u64 = 300;
 /// Gives the time that a suspected host has to object, in milliseconds.
-pub const SUSPICION_MS: u64 = 3_000;
+pub const SUSPICION_TIMEOUT_MS: u64 = 3_000;
 /// Bounds how long a call that carries a message may take, in milliseconds.
-pub const CALL_LIMIT_MS: u64 = 2_000;
+pub const CALL_TIMEOUT_MS: u64 = 2_000;
 
 const BUSY_SYNC_PERIOD_MS: u64 = 10_000;
 const FANOUT: usize = 2;
@@ -70,7 +70,7 @@
     Exchange,
     Probe { host: String },
     Relay { host: String },
-    Relayed { asked: Asked, host: String },
+    Relayed { asked: InboundCallId, host: String },
 }
 
 #[derive(Clone, Debug)]
@@ -90,7 +90,7 @@
 /// Detects failures of hosts and keeps the reports about them.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    calls: BTreeMap<Call, Sent>,
+    calls: BTreeMap<CallId, Sent>,
     effects: Vec<Effect>,
     gossiped: Instant,
     heard: Instant,
@@ -139,7 +139,7 @@
         self.pass_time(now);
         match event {
             Event::Answered(call, message) => self.answered(call, message),
-            Event::Asked(asked, message) => self.asked(asked, message),
+            Event::Called(asked, message) => self.asked(asked, message),
             Event::Drain => self.roster.restate(|profile| profile.draining = true),
             Event::Failed(call) => self.failed(call),
             Event::Leave => self.leave(),
@@ -197,7 +197,8 @@
         self.expire_calls();
         self.expire_probes();
         if !self.isolated {
-            self.roster.expire(SUSPICION_MS * self.slowness.div_ceil(2));
+            self.roster
+                .expire(SUSPICION_TIMEOUT_MS * self.slowness.div_ceil(2));
         }
         self.notice_isolation();
         self.seek();
@@ -206,7 +207,7 @@
         self.gossip();
     }
 
-    fn answered(&mut self, call: Call, message: Message) {
+    fn answered(&mut self, call: CallId, message: Message) {
         let Some(sent) = self.calls.remove(&call) else {
             return;
         };
@@ -214,7 +215,7 @@
         self.roster.merge(message.updates);
         let from = message.from;
         match (sent.pending, message.body) {
-            (Pending::Exchange, Body::Pull(records)) => self.roster.merge_all(records),
+            (Pending::Exchange, Body::PushPull(records)) => self.roster.merge_all(records),
             (Pending::Exchange, _) => {}
             (Pending::Probe { host }, Body::Ack) if host == from => self.acked(&host, true),
             (Pending::Relay { host }, Body::Ack) => self.acked(&host, false),
@@ -228,7 +229,7 @@
         }
     }
 
-    fn asked(&mut self, asked: Asked, message: Message) {
+    fn asked(&mut self, asked: InboundCallId, message: Message) {
         self.roster.merge(message.updates);
         let disputed = self.roster.get(&message.from).is_some_and(|peer| {
             peer.record.standing != Standing::Alive || peer.record.version > message.version
@@ -239,10 +240,10 @@
         match message.body {
             Body::Ack | Body::Nack => self.answer(asked, Body::Nack),
             Body::Probe => self.answer(asked, Body::Ack),
-            Body::Pull(records) => {
+            Body::PushPull(records) => {
                 self.roster.merge_all(records);
                 let all = self.roster.all();
-                self.answer(asked, Body::Pull(all));
+                self.answer(asked, Body::PushPull(all));
             }
             Body::Relay { address, host } => {
                 let pending = Pending::Relayed {
@@ -254,7 +255,7 @@
         }
     }
 
-    fn failed(&mut self, call: Call) {
+    fn failed(&mut self, call: CallId) {
         if let Some(sent) = self.calls.remove(&call) {
             self.unanswered(sent.pending);
         }
@@ -345,8 +346,8 @@
     fn expire_calls(&mut self) {
         let now = self.now();
         let late = self.calls.iter();
-        let late = late.filter(|(_, sent)| now.since(sent.at) > CALL_LIMIT_MS);
-        let late: Vec<Call> = late.map(|(call, _)| *call).collect();
+        let late = late.filter(|(_, sent)| now.since(sent.at) > CALL_TIMEOUT_MS);
+        let late: Vec<CallId> = late.map(|(call, _)| *call).collect();
         for call in late {
             self.failed(call);
         }
@@ -415,7 +416,7 @@
         }
         for address in unknown {
             let all = self.roster.all();
-            self.ask(address, None, Body::Pull(all), Pending::Exchange);
+            self.ask(address, None, Body::PushPull(all), Pending::Exchange);
         }
     }
 
@@ -428,7 +429,7 @@
         let dead = |peer: &Peer| peer.record.standing == Standing::Dead;
         for host in self.sample(1, dead) {
             let all = self.roster.all();
-            self.send(&host, Body::Pull(all), Pending::Exchange);
+            self.send(&host, Body::PushPull(all), Pending::Exchange);
         }
     }
 
@@ -498,7 +499,7 @@
         }
         self.synced = self.now();
         let all = self.roster.all();
-        self.send(host, Body::Pull(all), Pending::Exchange);
+        self.send(host, Body::PushPull(all), Pending::Exchange);
     }
 
     fn send(&mut self, host: &str, body: Body, pending: Pending) {
@@ -508,12 +509,12 @@
     }
 
     fn ask(&mut self, address: SocketAddr, host: Option<String>, body: Body, pending: Pending) {
-        let call = Call(self.next_call);
+        let call = CallId(self.next_call);
         self.next_call += 1;
         let at = self.now();
         self.calls.insert(call, Sent { at, pending });
         let message = self.message(body);
-        self.effects.push(Effect::Ask {
+        self.effects.push(Effect::Call {
             address,
             call,
             host,
@@ -521,7 +522,7 @@
         });
     }
 
-    fn answer(&mut self, asked: Asked, body: Body) {
+    fn answer(&mut self, asked: InboundCallId, body: Body) {
         let message = self.message(body);
         self.effects.push(Effect::Answer(asked, message));
     }
--- a/crates/coordination/src/roster.rs
+++ b/crates/coordination/src/roster.rs
@@ -365,7 +365,7 @@
         changes.push(Change::Draining(host()));
     }
     if before.profile.load != after.profile.load {
-        changes.push(Change::Loaded(host()));
+        changes.push(Change::LoadChanged(host()));
     }
     changes
 }
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -325,7 +325,10 @@
                     .any(|(_, p, c)| (*p, c) == (observer, &change))
             };
             assert!(told(Change::Restarted(name(2))), "seed {seed}, {observer}");
-            assert!(told(Change::Loaded(name(3))), "seed {seed}, {observer}");
+            assert!(
+                told(Change::LoadChanged(name(3))),
+                "seed {seed}, {observer}"
+            );
         }
     }
 }
--- a/crates/coordination/tests/schedule/mod.rs
+++ b/crates/coordination/tests/schedule/mod.rs
@@ -10,11 +10,11 @@
 use crate::common::address;
 use crate::common::name;
 use crate::common::profile;
-use coordination::gossip::Asked;
-use coordination::gossip::Call;
+use coordination::gossip::CallId;
 use coordination::gossip::Change;
 use coordination::gossip::Effect;
 use coordination::gossip::Event;
+use coordination::gossip::InboundCallId;
 use coordination::gossip::Message;
 use coordination::host::Standing;
 use coordination::membership::Membership;
@@ -44,22 +44,22 @@
 
 enum Delivery {
     Answer {
-        call: Call,
+        call: CallId,
         message: Message,
         from: usize,
     },
     Ask {
-        call: Call,
+        call: CallId,
         from: usize,
         message: Message,
     },
-    Fail(Call),
+    Fail(CallId),
     Tick,
 }
 
 /// Runs a fleet in virtual time.
 pub struct Fleet {
-    asked: BTreeMap<u64, (usize, Call)>,
+    asked: BTreeMap<u64, (usize, CallId)>,
     pub bytes: u64,
     pub changes: Vec<(u64, usize, Change)>,
     cuts: BTreeSet<(usize, usize)>,
@@ -200,8 +200,8 @@
     /// Hands a message of another host to a host and drops the answer.
     pub fn hand(&mut self, place: usize, message: Message) {
         self.sequence += 1;
-        self.asked.insert(self.sequence, (place, Call(u64::MAX)));
-        self.tell(place, Event::Asked(Asked(self.sequence), message));
+        self.asked.insert(self.sequence, (place, CallId(u64::MAX)));
+        self.tell(place, Event::Called(InboundCallId(self.sequence), message));
     }
 
     /// Lets `millis` pass.
@@ -266,7 +266,7 @@
             } => {
                 self.sequence += 1;
                 self.asked.insert(self.sequence, (from, call));
-                self.tell(place, Event::Asked(Asked(self.sequence), message));
+                self.tell(place, Event::Called(InboundCallId(self.sequence), message));
             }
             Delivery::Fail(call) => self.tell(place, Event::Failed(call)),
             Delivery::Tick => self.tell(place, Event::Tick),
@@ -276,7 +276,7 @@
     fn apply(&mut self, place: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Answer(Asked(asked), message) => {
+                Effect::Answer(InboundCallId(asked), message) => {
                     self.count(&message);
                     let (to, call) = self.asked.remove(&asked).unwrap();
                     let delay = self.rng.random_range(LATENCY_MS);
@@ -291,7 +291,7 @@
                         },
                     );
                 }
-                Effect::Ask {
+                Effect::Call {
                     address: to,
                     call,
                     message,
--- a/crates/hibiscushoistd/src/member.rs
+++ b/crates/hibiscushoistd/src/member.rs
@@ -15,9 +15,9 @@
 
 use crate::pool::Pool;
 use coordination::gossip;
-use coordination::gossip::Asked;
 use coordination::gossip::Change;
 use coordination::gossip::Effect;
+use coordination::gossip::InboundCallId;
 use coordination::gossip::Message;
 use coordination::host::Load;
 use coordination::membership;
@@ -115,7 +115,7 @@
 }
 
 struct Duty {
-    asked: HashMap<Asked, (Instant, oneshot::Sender<Message>)>,
+    asked: HashMap<InboundCallId, (Instant, oneshot::Sender<Message>)>,
     clock: Clock,
     detector: Membership,
     log: Logger,
@@ -185,14 +185,14 @@
     }
 
     fn ask(&mut self, message: Message, answer: oneshot::Sender<Message>) {
-        let asked = Asked(self.next_asked);
+        let asked = InboundCallId(self.next_asked);
         self.next_asked += 1;
         self.asked.insert(asked, (self.clock.now(), answer));
-        self.step(gossip::Event::Asked(asked, message));
+        self.step(gossip::Event::Called(asked, message));
     }
 
     fn forget(&mut self, now: Instant) {
-        let limit = 2 * membership::CALL_LIMIT_MS;
+        let limit = 2 * membership::CALL_TIMEOUT_MS;
         self.asked.retain(|_, (since, _)| now.since(*since) < limit);
     }
 
@@ -208,7 +208,7 @@
                         let _ = answer.send(message);
                     }
                 }
-                Effect::Ask {
+                Effect::Call {
                     address,
                     call,
                     host,
@@ -228,7 +228,7 @@
     fn send(
         &self,
         address: SocketAddr,
-        call: gossip::Call,
+        call: gossip::CallId,
         host: Option<String>,
         message: Message,
     ) {
@@ -238,7 +238,7 @@
         let client = pool.client(address, host);
         let ring = self.ring.clone();
         self.runtime.spawn(async move {
-            let limit = Duration::from_millis(membership::CALL_LIMIT_MS);
+            let limit = Duration::from_millis(membership::CALL_TIMEOUT_MS);
             let answer = client
                 .call(limit, |peer, context| async move {
                     peer.gossip(context, message).await
@@ -286,7 +286,7 @@
         Change::Left(host) => (Event::HostLeft, host.clone()),
         Change::LinkCut(host) => (Event::LinkCut, host.clone()),
         Change::LinkMended(host) => (Event::LinkMended, host.clone()),
-        Change::Loaded(host) => (Event::HostLoaded, host.clone()),
+        Change::LoadChanged(host) => (Event::HostLoaded, host.clone()),
         Change::NameTaken(address) => (Event::NameTaken, address.to_string()),
         Change::Paused(millis) => (Event::Paused, format!("{millis} ms")),
         Change::Restarted(host) => (Event::HostRestarted, host.clone()),
