--- a/crates/coordination/src/quorum.rs
+++ b/crates/coordination/src/quorum.rs
@@ -12,9 +12,9 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Identity(pub u64);
+pub struct MemberId(pub u64);
 
-impl fmt::Display for Identity {
+impl fmt::Display for MemberId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -35,11 +35,11 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Change {
     /// Adds a learner.
-    Add(Identity, Member),
+    Add(MemberId, Member),
     /// Lets a learner vote.
-    Promote(Identity),
+    Promote(MemberId),
     /// Removes a learner or a voter.
-    Remove(Identity),
+    Remove(MemberId),
 }
 
 /// Tells why a change is refused.
@@ -47,28 +47,28 @@
 pub enum Error {
     /// Reports a learner that lacks entries or was not heard from lately.
     #[error("{0} has not caught up yet")]
-    Behind(Identity),
+    Behind(MemberId),
     /// Reports that an earlier change is not committed yet.
     #[error("an earlier change of the voters is not committed yet")]
-    Busy,
+    ChangePending,
     /// Reports a removal that would leave no voter.
     #[error("{0} is the last voter")]
-    Last(Identity),
+    LastVoter(MemberId),
     /// Reports an identity that is already a member.
     #[error("{0} is already a member")]
-    Present(Identity),
+    MemberExists(MemberId),
     /// Reports an identity that is no member, or no learner where one is needed.
     #[error("{0} is no member that this change could apply to")]
-    Unknown(Identity),
+    UnknownMember(MemberId),
 }
 
 /// Lists the holders of the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Config {
     /// Identifies the group by its first voter, so that two groups never mix.
-    pub group: Identity,
+    pub group: MemberId,
     /// Holds the members.
-    pub members: BTreeMap<Identity, Member>,
+    pub members: BTreeMap<MemberId, Member>,
 }
 
 impl Config {
@@ -77,12 +77,12 @@
     /// # Errors
     ///
     /// Returns an error when the change does not fit the members.
-    pub fn changed(&self, change: &Change) -> Result<Self, Error> {
+    pub fn with_change(&self, change: &Change) -> Result<Self, Error> {
         let mut config = self.clone();
         match change {
             Change::Add(identity, member) => {
                 if self.members.contains_key(identity) {
-                    return Err(Error::Present(*identity));
+                    return Err(Error::MemberExists(*identity));
                 }
                 let votes = false;
                 let member = member.clone();
@@ -90,14 +90,14 @@
             }
             Change::Promote(identity) => match config.members.get_mut(identity) {
                 Some(member) if !member.votes => member.votes = true,
-                _ => return Err(Error::Unknown(*identity)),
+                _ => return Err(Error::UnknownMember(*identity)),
             },
             Change::Remove(identity) => {
                 if config.members.remove(identity).is_none() {
-                    return Err(Error::Unknown(*identity));
+                    return Err(Error::UnknownMember(*identity));
                 }
                 if config.voters().next().is_none() {
-                    return Err(Error::Last(*identity));
+                    return Err(Error::LastVoter(*identity));
                 }
             }
         }
@@ -105,7 +105,7 @@
     }
 
     /// Returns the greatest value that a majority of the voters has reached.
-    pub fn agreed<T: Ord + Default>(&self, value: impl Fn(Identity) -> T) -> T {
+    pub fn majority_value<T: Ord + Default>(&self, value: impl Fn(MemberId) -> T) -> T {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
         let majority = values.len() / 2;
@@ -113,18 +113,18 @@
     }
 
     /// Returns whether `agrees` holds for a majority of the voters.
-    pub fn majority(&self, agrees: impl Fn(Identity) -> bool) -> bool {
-        self.agreed(agrees)
+    pub fn has_majority(&self, agrees: impl Fn(MemberId) -> bool) -> bool {
+        self.majority_value(agrees)
     }
 
     /// Iterates over the members that vote.
-    pub fn voters(&self) -> impl Iterator<Item = Identity> {
-        let voting = |(identity, member): (&Identity, &Member)| member.votes.then_some(*identity);
+    pub fn voters(&self) -> impl Iterator<Item = MemberId> {
+        let voting = |(identity, member): (&MemberId, &Member)| member.votes.then_some(*identity);
         self.members.iter().filter_map(voting)
     }
 
     /// Returns whether `identity` votes.
-    pub fn votes(&self, identity: Identity) -> bool {
+    pub fn is_voter(&self, identity: MemberId) -> bool {
         self.members.get(&identity).is_some_and(|m| m.votes)
     }
 }
--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -19,8 +19,8 @@
 use crate::quorum;
 use crate::quorum::Change;
 use crate::quorum::Config;
-use crate::quorum::Identity;
 use crate::quorum::Member;
+use crate::quorum::MemberId;
 use crate::raft_entry::Entry;
 use crate::raft_entry::Hard;
 use crate::raft_entry::Meta;
@@ -98,7 +98,7 @@
     Change(#[from] quorum::Error),
     /// Reports that this member does not lead; the leader is named when known.
     #[error("this voter does not lead")]
-    NotLeader(Option<Identity>),
+    NotLeader(Option<MemberId>),
 }
 
 /// Tells what a member is doing.
@@ -107,7 +107,7 @@
     /// Asks for votes.
     Candidate,
     /// Follows the leader, if it knows one.
-    Follower(Option<Identity>),
+    Follower(Option<MemberId>),
     /// Leads.
     Leader,
     /// Asks whether it would get votes.
@@ -116,10 +116,10 @@
 
 #[derive(Debug)]
 pub(crate) enum State {
-    Candidate(BTreeSet<Identity>),
-    Follower(Option<Identity>),
+    Candidate(BTreeSet<MemberId>),
+    Follower(Option<MemberId>),
     Leader(Box<Leader>),
-    PreCandidate(BTreeSet<Identity>),
+    PreCandidate(BTreeSet<MemberId>),
 }
 
 #[derive(Debug)]
@@ -138,7 +138,7 @@
     pub(crate) hard: Hard,
     pub(crate) heard: Instant,
     held: VecDeque<(u64, Envelope)>,
-    pub(crate) identity: Identity,
+    pub(crate) identity: MemberId,
     pub(crate) incoming: Option<Incoming>,
     pub(crate) log: Log,
     pub(crate) now: Instant,
@@ -158,7 +158,7 @@
     ///
     /// It grants no vote for one election timeout, since it may have promised a leader not to.
     pub fn new(
-        identity: Identity,
+        identity: MemberId,
         settings: Settings,
         seed: u64,
         now: Instant,
@@ -231,7 +231,7 @@
     }
 
     /// Returns this member's identity.
-    pub fn identity(&self) -> Identity {
+    pub fn identity(&self) -> MemberId {
         self.identity
     }
 
@@ -241,7 +241,7 @@
     }
 
     /// Returns the leader, when it is known.
-    pub fn leader(&self) -> Option<Identity> {
+    pub fn leader(&self) -> Option<MemberId> {
         match &self.state {
             State::Candidate(_) | State::PreCandidate(_) => None,
             State::Follower(leader) => *leader,
@@ -260,7 +260,7 @@
     }
 
     /// Returns the index up to which each other member's log is known to match, on the leader.
-    pub fn matched(&self) -> Vec<(Identity, u64)> {
+    pub fn matched(&self) -> Vec<(MemberId, u64)> {
         match &self.state {
             State::Leader(leader) => leader.all_matched(),
             State::Candidate(_) | State::Follower(_) | State::PreCandidate(_) => Vec::new(),
@@ -291,13 +291,13 @@
     }
 
     /// Sends a message that promises nothing about the disk.
-    pub(crate) fn send(&mut self, to: Identity, term: u64, body: Body) {
+    pub(crate) fn send(&mut self, to: MemberId, term: u64, body: Body) {
         let envelope = self.envelope(to, term, body);
         self.effects.push(Effect::Send(envelope));
     }
 
     /// Sends a message once all records so far are on the disk.
-    pub(crate) fn send_synced(&mut self, to: Identity, term: u64, body: Body) {
+    pub(crate) fn send_synced(&mut self, to: MemberId, term: u64, body: Body) {
         let envelope = self.envelope(to, term, body);
         self.outbox.push(envelope);
     }
@@ -348,7 +348,7 @@
         }
     }
 
-    fn envelope(&self, to: Identity, term: u64, body: Body) -> Envelope {
+    fn envelope(&self, to: MemberId, term: u64, body: Body) -> Envelope {
         Envelope {
             body,
             from: self.identity,
--- a/crates/coordination/src/raft_election.rs
+++ b/crates/coordination/src/raft_election.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::quorum::Identity;
+use crate::quorum::MemberId;
 use crate::raft::Raft;
 use crate::raft::State;
 use crate::raft_entry::Hard;
@@ -14,7 +14,7 @@
     /// Asks whether the others would vote for this member.
     pub(crate) fn precampaign(&mut self) {
         self.defer_election();
-        if !self.config().votes(self.identity) {
+        if !self.config().is_voter(self.identity) {
             return;
         }
         self.fail_reads();
@@ -28,18 +28,18 @@
     }
 
     /// Counts a vote or a pre-vote of `voter`.
-    pub(crate) fn count(&mut self, voter: Identity) {
+    pub(crate) fn count(&mut self, voter: MemberId) {
         let config = self.log.config();
         match &mut self.state {
             State::Candidate(votes) => {
                 votes.insert(voter);
-                if config.majority(|id| votes.contains(&id)) {
+                if config.has_majority(|id| votes.contains(&id)) {
                     self.lead();
                 }
             }
             State::PreCandidate(votes) => {
                 votes.insert(voter);
-                if config.majority(|id| votes.contains(&id)) {
+                if config.has_majority(|id| votes.contains(&id)) {
                     self.campaign();
                 }
             }
@@ -48,7 +48,7 @@
     }
 
     /// Follows `leader`, or nobody yet, in `term`.
-    pub(crate) fn follow(&mut self, term: u64, leader: Option<Identity>) {
+    pub(crate) fn follow(&mut self, term: u64, leader: Option<MemberId>) {
         self.fail_reads();
         if term > self.hard.term {
             self.set_hard(Hard { term, vote: None });
@@ -60,20 +60,20 @@
         }
     }
 
-    pub(crate) fn on_pre_vote(&mut self, from: Identity, term: u64, last: Position) {
+    pub(crate) fn on_pre_vote(&mut self, from: MemberId, term: u64, last: Position) {
         let granted = term > self.hard.term && last >= self.log.last() && !self.promised();
         let reply = if granted { term } else { self.hard.term };
         self.send(from, reply, Body::PreVoteReply { granted });
     }
 
-    pub(crate) fn on_pre_vote_reply(&mut self, from: Identity, term: u64, granted: bool) {
+    pub(crate) fn on_pre_vote_reply(&mut self, from: MemberId, term: u64, granted: bool) {
         let expected = term == self.hard.term + 1;
         if granted && expected && matches!(self.state, State::PreCandidate(_)) {
             self.count(from);
         }
     }
 
-    pub(crate) fn on_vote(&mut self, from: Identity, term: u64, last: Position) {
+    pub(crate) fn on_vote(&mut self, from: MemberId, term: u64, last: Position) {
         if term < self.hard.term {
             let granted = false;
             return self.send_synced(from, self.hard.term, Body::VoteReply { granted });
@@ -95,14 +95,14 @@
         self.send_synced(from, term, Body::VoteReply { granted });
     }
 
-    pub(crate) fn on_vote_reply(&mut self, from: Identity, term: u64, granted: bool) {
+    pub(crate) fn on_vote_reply(&mut self, from: MemberId, term: u64, granted: bool) {
         if granted && term == self.hard.term && matches!(self.state, State::Candidate(_)) {
             self.count(from);
         }
     }
 
     /// Returns the other members that vote.
-    pub(crate) fn other_voters(&self) -> Vec<Identity> {
+    pub(crate) fn other_voters(&self) -> Vec<MemberId> {
         let voters = self.log.config().voters();
         voters.filter(|id| *id != self.identity).collect()
     }
--- a/crates/coordination/src/raft_entry.rs
+++ b/crates/coordination/src/raft_entry.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::quorum::Config;
-use crate::quorum::Identity;
+use crate::quorum::MemberId;
 
 /// Names a place in the log.
 #[derive(
@@ -60,7 +60,7 @@
     /// Gives the newest term seen.
     pub term: u64,
     /// Names the candidate voted for in that term.
-    pub vote: Option<Identity>,
+    pub vote: Option<MemberId>,
 }
 
 /// Describes a snapshot without its data.
--- a/crates/coordination/src/raft_follower.rs
+++ b/crates/coordination/src/raft_follower.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::quorum::Identity;
+use crate::quorum::MemberId;
 use crate::raft::Effect;
 use crate::raft::Incoming;
 use crate::raft::Raft;
@@ -26,7 +26,7 @@
             to,
         } = envelope;
         let own = self.log.config().group;
-        let none = Identity::default();
+        let none = MemberId::default();
         let foreign = own != none && group != none && group != own;
         if to != self.identity || foreign {
             return;
@@ -84,7 +84,7 @@
 
     fn append(
         &mut self,
-        from: Identity,
+        from: MemberId,
         round: u64,
         previous: Position,
         entries: Vec<Entry>,
@@ -126,7 +126,7 @@
         self.records.push(Record::Entries(new));
     }
 
-    fn hear(&mut self, leader: Identity) {
+    fn hear(&mut self, leader: MemberId) {
         let known = matches!(self.state, State::Follower(Some(known)) if known == leader);
         if !known {
             self.follow(self.hard.term, Some(leader));
@@ -163,7 +163,7 @@
 
     fn take_piece(
         &mut self,
-        from: Identity,
+        from: MemberId,
         round: u64,
         meta: Meta,
         offset: u64,
--- a/crates/coordination/src/raft_leader.rs
+++ b/crates/coordination/src/raft_leader.rs
@@ -5,7 +5,7 @@
 use crate::quorum;
 use crate::quorum::Change;
 use crate::quorum::Config;
-use crate::quorum::Identity;
+use crate::quorum::MemberId;
 use crate::raft::Effect;
 use crate::raft::Raft;
 use crate::raft::Refusal;
@@ -28,7 +28,7 @@
         };
         let own = self.identity;
         let config = self.log.config();
-        let agreed = config.agreed(|id| leader.matched(id, own));
+        let agreed = config.majority_value(|id| leader.matched(id, own));
         if agreed > self.commit && self.log.term(agreed) == Some(self.hard.term) {
             self.commit = agreed;
             self.apply();
@@ -90,11 +90,11 @@
         }
     }
 
-    pub(crate) fn on_accepted(&mut self, from: Identity, round: u64, matched: u64) {
+    pub(crate) fn on_accepted(&mut self, from: MemberId, round: u64, matched: u64) {
         self.with_member(from, round, |progress| progress.accept(matched));
     }
 
-    pub(crate) fn on_received(&mut self, from: Identity, round: u64, index: u64, offset: u64) {
+    pub(crate) fn on_received(&mut self, from: MemberId, round: u64, index: u64, offset: u64) {
         let mut grew = false;
         self.with_member(from, round, |progress| {
             grew = progress.receive(index, offset)
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(crate) fn on_rejected(&mut self, from: Identity, round: u64, hint: u64) {
+    pub(crate) fn on_rejected(&mut self, from: MemberId, round: u64, hint: u64) {
         self.with_member(from, round, |progress| progress.reject(hint));
     }
 
@@ -153,7 +153,7 @@
             return;
         };
         let own = self.identity;
-        let confirmed = self.log.config().agreed(|id| leader.acked(id, own));
+        let confirmed = self.log.config().majority_value(|id| leader.acked(id, own));
         let commit = self.commit;
         let ready = |read: &Waiting| read.round <= confirmed && read.index <= commit;
         while let Some(read) = leader.reads.pop_front_if(|read| ready(read)) {
@@ -166,7 +166,7 @@
             return Err(Refusal::NotLeader(self.leader()));
         };
         if self.commit < self.log.config_index().max(leader.first) {
-            return Err(quorum::Error::Busy.into());
+            return Err(quorum::Error::ChangePending.into());
         }
         if let Change::Promote(id) = change {
             let progress = leader.members.get(id);
@@ -175,7 +175,7 @@
                 return Err(quorum::Error::Behind(*id).into());
             }
         }
-        Ok(self.log.config().changed(change)?)
+        Ok(self.log.config().with_change(change)?)
     }
 
     fn push(&mut self, payload: Payload) -> Position {
@@ -206,7 +206,7 @@
             return;
         };
         let own = self.identity;
-        let confirmed = self.log.config().agreed(|id| leader.acked(id, own));
+        let confirmed = self.log.config().majority_value(|id| leader.acked(id, own));
         while leader
             .started
             .front()
@@ -226,19 +226,19 @@
         let State::Leader(leader) = &self.state else {
             return;
         };
-        let peers: Vec<Identity> = leader.members.keys().copied().collect();
+        let peers: Vec<MemberId> = leader.members.keys().copied().collect();
         for peer in peers {
             self.send_entries(peer);
         }
     }
 
-    fn send_entries(&mut self, peer: Identity) {
+    fn send_entries(&mut self, peer: MemberId) {
         while let Some(body) = self.next_batch(peer) {
             self.send(peer, self.hard.term, body);
         }
     }
 
-    fn next_batch(&mut self, peer: Identity) -> Option<Body> {
+    fn next_batch(&mut self, peer: MemberId) -> Option<Body> {
         let State::Leader(leader) = &mut self.state else {
             return None;
         };
@@ -274,7 +274,7 @@
         })
     }
 
-    fn send_heartbeat(&mut self, peer: Identity) {
+    fn send_heartbeat(&mut self, peer: MemberId) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
@@ -306,7 +306,7 @@
         self.send_entries(peer);
     }
 
-    fn send_piece(&mut self, peer: Identity) {
+    fn send_piece(&mut self, peer: MemberId) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
@@ -342,13 +342,13 @@
         leader.round += 1;
         leader.heartbeat_due = self.now + self.settings.heartbeat;
         leader.started.push_back((leader.round, self.now));
-        let peers: Vec<Identity> = leader.members.keys().copied().collect();
+        let peers: Vec<MemberId> = leader.members.keys().copied().collect();
         for peer in peers {
             self.send_heartbeat(peer);
         }
     }
 
-    fn with_member(&mut self, from: Identity, round: u64, change: impl FnOnce(&mut Progress)) {
+    fn with_member(&mut self, from: MemberId, round: u64, change: impl FnOnce(&mut Progress)) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
--- a/crates/coordination/src/raft_leadership.rs
+++ b/crates/coordination/src/raft_leadership.rs
@@ -5,7 +5,7 @@
 
 use crate::lease;
 use crate::quorum::Config;
-use crate::quorum::Identity;
+use crate::quorum::MemberId;
 use crate::raft_message::Token;
 use crate::raft_progress::Progress;
 use crate::raft_settings::Settings;
@@ -28,7 +28,7 @@
     pub(crate) first: u64,
     pub(crate) heartbeat_due: Instant,
     pub(crate) leased: Option<Instant>,
-    pub(crate) members: BTreeMap<Identity, Progress>,
+    pub(crate) members: BTreeMap<MemberId, Progress>,
     pub(crate) reads: VecDeque<Waiting>,
     pub(crate) round: u64,
     pub(crate) since: Instant,
@@ -60,7 +60,7 @@
     }
 
     /// Follows the members of `config`; new ones are sent entries from `next` on.
-    pub(crate) fn track(&mut self, config: &Config, own: Identity, next: u64) {
+    pub(crate) fn track(&mut self, config: &Config, own: MemberId, next: u64) {
         self.members.retain(|id, _| config.members.contains_key(id));
         for id in config.members.keys().filter(|id| **id != own) {
             let new = || Progress::new(next);
@@ -69,7 +69,7 @@
     }
 
     /// Returns the index up to which each other member's log is known to match.
-    pub(crate) fn all_matched(&self) -> Vec<(Identity, u64)> {
+    pub(crate) fn all_matched(&self) -> Vec<(MemberId, u64)> {
         let matched = self.members.iter().map(|(id, p)| (*id, p.matched));
         matched.collect()
     }
@@ -80,7 +80,7 @@
     }
 
     /// Returns the index up to which a member's log is known to match.
-    pub(crate) fn matched(&self, id: Identity, own: Identity) -> u64 {
+    pub(crate) fn matched(&self, id: MemberId, own: MemberId) -> u64 {
         if id == own {
             return self.durable;
         }
@@ -88,7 +88,7 @@
     }
 
     /// Returns the last round of heartbeats that a member has answered.
-    pub(crate) fn acked(&self, id: Identity, own: Identity) -> u64 {
+    pub(crate) fn acked(&self, id: MemberId, own: MemberId) -> u64 {
         if id == own {
             return self.round;
         }
--- a/crates/coordination/src/raft_message.rs
+++ b/crates/coordination/src/raft_message.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::quorum::Identity;
+use crate::quorum::MemberId;
 use crate::raft_entry::Entry;
 use crate::raft_entry::Meta;
 use crate::raft_entry::Position;
@@ -14,13 +14,13 @@
     /// Holds the message.
     pub body: Body,
     /// Names the sender.
-    pub from: Identity,
+    pub from: MemberId,
     /// Identifies the sender's group.
-    pub group: Identity,
+    pub group: MemberId,
     /// Gives the sender's term; for a pre-vote and its grant the term that would follow.
     pub term: u64,
     /// Names the receiver, by identity and not by host.
-    pub to: Identity,
+    pub to: MemberId,
 }
 
 impl Envelope {
--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -10,13 +10,13 @@
 use crate::host::Role;
 use crate::host::Standing;
 use crate::quorum::Config;
-use crate::quorum::Identity;
 use crate::quorum::Member;
+use crate::quorum::MemberId;
 use crate::view::View;
 
 /// Returns a voter that can be removed, because more than `target` vote and its host is gone or
 /// ends.
-pub fn surplus(config: &Config, view: &View, target: usize) -> Option<Identity> {
+pub fn surplus(config: &Config, view: &View, target: usize) -> Option<MemberId> {
     if config.voters().count() <= target {
         return None;
     }
--- a/crates/coordination/tests/faults.rs
+++ b/crates/coordination/tests/faults.rs
@@ -11,7 +11,7 @@
 use crate::sim::Weather;
 use coordination::machine::Answer;
 use coordination::machine::Command;
-use coordination::quorum::Identity;
+use coordination::quorum::MemberId;
 use coordination::raft::Effect;
 use coordination::raft::Event;
 use coordination::raft::Role;
@@ -352,8 +352,8 @@
         body: Body::Vote {
             last: Position { term: 9, index: 99 },
         },
-        from: Identity(1),
-        group: Identity(1),
+        from: MemberId(1),
+        group: MemberId(1),
         term: 9,
         to: old,
     };
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -21,8 +21,8 @@
 use coordination::machine::Command;
 use coordination::machine::Machine;
 use coordination::quorum::Change;
-use coordination::quorum::Identity;
 use coordination::quorum::Member;
+use coordination::quorum::MemberId;
 use coordination::raft::Effect;
 use coordination::raft::Event;
 use coordination::raft::Raft;
@@ -100,7 +100,7 @@
 
 #[derive(Debug, Default)]
 pub struct Disk {
-    pub identity: Identity,
+    pub identity: MemberId,
     pub synced: Recovered,
     unsynced: Vec<(u64, Vec<Record>)>,
 }
@@ -122,7 +122,7 @@
     pub flaw: Flaw,
     pub hosts: Vec<Host>,
     identities: u64,
-    pub leaders: BTreeMap<u64, Identity>,
+    pub leaders: BTreeMap<u64, MemberId>,
     pub now: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     happenings: BTreeMap<u64, Happening>,
@@ -225,10 +225,10 @@
         self.crash(host);
         self.identities += 1;
         let identity = match self.flaw {
-            Flaw::TrustName if self.hosts[host].disk.identity != Identity::default() => {
+            Flaw::TrustName if self.hosts[host].disk.identity != MemberId::default() => {
                 self.hosts[host].disk.identity
             }
-            _ => Identity(self.identities),
+            _ => MemberId(self.identities),
         };
         self.hosts[host].disk = Disk {
             identity,
@@ -254,7 +254,7 @@
             return false;
         };
         let running = self.hosts.iter().filter_map(|host| host.raft.as_ref());
-        let mut own: Vec<Identity> = running.map(Raft::identity).collect();
+        let mut own: Vec<MemberId> = running.map(Raft::identity).collect();
         own.sort();
         let Some(raft) = self.hosts[leader].raft.as_ref() else {
             return false;
@@ -385,7 +385,7 @@
             }
         }
         if changes.is_empty() {
-            let own = |id: &Identity| self.hosts.iter().any(|host| host.disk.identity == *id);
+            let own = |id: &MemberId| self.hosts.iter().any(|host| host.disk.identity == *id);
             let gone = members.keys().find(|id| !own(id));
             changes.extend(gone.map(|id| Change::Remove(*id)));
         }
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -12,8 +12,8 @@
 use coordination::host::Standing;
 use coordination::host::Version;
 use coordination::quorum::Config;
-use coordination::quorum::Identity;
 use coordination::quorum::Member;
+use coordination::quorum::MemberId;
 use coordination::view;
 use coordination::view::View;
 use coordination::voters;
@@ -51,10 +51,10 @@
             name: name(*place),
             votes: true,
         };
-        (Identity(*place as u64), member)
+        (MemberId(*place as u64), member)
     };
     Config {
-        group: Identity(9),
+        group: MemberId(9),
         members: places.iter().map(member).collect::<BTreeMap<_, _>>(),
     }
 }
@@ -78,7 +78,7 @@
     assert_eq!(successors(&view), [name(3)]);
     assert_eq!(voters::surplus(&members(&[0, 1, 2]), &view, TARGET), None);
     let all = members(&[0, 1, 2, 3]);
-    let gone = Some(Identity(2));
+    let gone = Some(MemberId(2));
     assert_eq!(voters::surplus(&all, &view, TARGET), gone);
     assert!(voters::successors(&all, &view, TARGET).is_empty());
 }
@@ -89,7 +89,7 @@
     view.hosts[2] = host(2, Standing::Suspect, false);
     assert_eq!(successors(&view), [name(3)]);
     let all = members(&[0, 1, 2, 3]);
-    let gone = Some(Identity(2));
+    let gone = Some(MemberId(2));
     assert_eq!(voters::surplus(&all, &view, TARGET), gone);
     let mut alone = sound(&[0, 1, 2]);
     alone.hosts[2] = host(2, Standing::Suspect, false);
--- a/crates/hibiscushoistd/src/voter.rs
+++ b/crates/hibiscushoistd/src/voter.rs
@@ -20,8 +20,8 @@
 use coordination::machine::Answer;
 use coordination::machine::Command;
 use coordination::quorum::Change;
-use coordination::quorum::Identity;
 use coordination::quorum::Member;
+use coordination::quorum::MemberId;
 use coordination::view::View;
 use protocol::operator::History;
 use protocol::operator::Voters;
@@ -261,7 +261,7 @@
         let status = self.status()?;
         let group = Some(status.config.group);
         Some(Folder {
-            group: group.filter(|group| *group != Identity::default()),
+            group: group.filter(|group| *group != MemberId::default()),
             identity: status.identity,
             name: self.name.clone(),
         })
--- a/crates/hibiscushoistd/src/voter_call.rs
+++ b/crates/hibiscushoistd/src/voter_call.rs
@@ -9,8 +9,8 @@
 use coordination::machine::Command;
 use coordination::quorum::Change;
 use coordination::quorum::Config;
-use coordination::quorum::Identity;
 use coordination::quorum::Member;
+use coordination::quorum::MemberId;
 use protocol::operator;
 use protocol::operator::History;
 use protocol::operator::Voters;
@@ -62,7 +62,7 @@
     /// Holds the members, as far as this voter knows.
     pub config: Config,
     /// Identifies the data folder.
-    pub identity: Identity,
+    pub identity: MemberId,
     /// Holds the leader's address, when it is known and another one.
     pub leader: Option<SocketAddr>,
     /// Names the leader's host, when it is known.
@@ -70,7 +70,7 @@
     /// Tells whether this voter leads.
     pub leads: bool,
     /// Gives the index up to which each member's log is known to match; only the leader knows.
-    pub matched: Vec<(Identity, u64)>,
+    pub matched: Vec<(MemberId, u64)>,
     /// Gives the newest term seen.
     pub term: u64,
     /// Tells whether the voter works.
@@ -80,11 +80,11 @@
 impl Status {
     /// Shows the voters to an operator.
     pub fn voters(&self) -> Voters {
-        let matched = |id: &Identity| match self.leads && *id == self.identity {
+        let matched = |id: &MemberId| match self.leads && *id == self.identity {
             false => self.matched.iter().find(|(m, _)| m == id).map(|m| m.1),
             true => Some(self.committed),
         };
-        let voter = |(id, member): (&Identity, &Member)| operator::Voter {
+        let voter = |(id, member): (&MemberId, &Member)| operator::Voter {
             address: member.address.to_string(),
             identity: id.to_string(),
             matched: matched(id),
--- a/crates/hibiscushoistd/src/voter_route.rs
+++ b/crates/hibiscushoistd/src/voter_route.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use crate::pool::Pool;
-use coordination::quorum::Identity;
+use coordination::quorum::MemberId;
 use coordination::raft_message::Envelope;
 use protocol::voter::Packet;
 use transport::metric;
@@ -19,7 +19,7 @@
 
 /// Knows how to reach the other members.
 pub struct Routes {
-    addresses: HashMap<Identity, SocketAddr>,
+    addresses: HashMap<MemberId, SocketAddr>,
     own: SocketAddr,
     pool: Option<Pool>,
     queues: HashMap<SocketAddr, mpsc::Sender<Envelope>>,
@@ -39,7 +39,7 @@
     }
 
     /// Learns where a member is.
-    pub fn learn(&mut self, identity: Identity, address: SocketAddr) {
+    pub fn learn(&mut self, identity: MemberId, address: SocketAddr) {
         if self.addresses.insert(identity, address) != Some(address) {
             let used: Vec<SocketAddr> = self.addresses.values().copied().collect();
             self.queues.retain(|address, _| used.contains(address));
--- a/crates/hibiscushoistd/src/voter_start.rs
+++ b/crates/hibiscushoistd/src/voter_start.rs
@@ -25,8 +25,8 @@
 use crate::voter_duty::Parts;
 use crate::voter_route::Routes;
 use crate::voter_upkeep::Upkeep;
-use coordination::quorum::Identity;
 use coordination::quorum::Member;
+use coordination::quorum::MemberId;
 use coordination::raft::Raft;
 use coordination::raft_entry::Recovered;
 use coordination::raft_settings;
@@ -93,7 +93,7 @@
 ) -> Result<Local, Report<Start>> {
     let folder = settings.data.as_ref().map(|data| data.join("log"));
     let store = folder.map(|folder| open(folder, log)).transpose()?;
-    let fresh = Identity(rand::random());
+    let fresh = MemberId(rand::random());
     let identity = store.as_ref().map_or(fresh, Store::identity);
     let recovered = store.as_ref().map(Store::recovered).cloned();
     let recovered = recovered.unwrap_or_default();
@@ -156,7 +156,7 @@
 
 fn open(folder: std::path::PathBuf, log: &Logger) -> Result<Store<disk::Folder>, Report<Start>> {
     let locked = disk::Folder::open(folder).change_context(Start::Folder)?;
-    let opened = Store::open(locked, Identity(rand::random()));
+    let opened = Store::open(locked, MemberId(rand::random()));
     let (store, report) = opened.change_context(Start::Folder)?;
     if report.torn {
         event::emit(log, Event::LogTorn, slog::o!());
--- a/crates/hibiscushoistd/src/voter_upkeep.rs
+++ b/crates/hibiscushoistd/src/voter_upkeep.rs
@@ -14,8 +14,8 @@
 use crate::voter_call::Call;
 use crate::voter_call::Status;
 use coordination::quorum::Change;
-use coordination::quorum::Identity;
 use coordination::quorum::Member;
+use coordination::quorum::MemberId;
 use coordination::view::View;
 use coordination::voters;
 use protocol::voter::Folder;
@@ -138,7 +138,7 @@
             };
             return Some(Change::Add(folder.identity, member));
         }
-        let lost = |(id, member): &(&Identity, &Member)| {
+        let lost = |(id, member): &(&MemberId, &Member)| {
             member.name == folder.name && **id != folder.identity
         };
         let lost = members.iter().find(lost);
--- a/crates/protocol/src/voter.rs
+++ b/crates/protocol/src/voter.rs
@@ -8,7 +8,7 @@
 use strum::IntoStaticStr;
 use thiserror::Error;
 
-use coordination::quorum::Identity;
+use coordination::quorum::MemberId;
 use coordination::raft_message::Envelope;
 use state::edit::Edit;
 use state::table::Table;
@@ -35,9 +35,9 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Folder {
     /// Identifies the group that it belongs to, if it does yet.
-    pub group: Option<Identity>,
+    pub group: Option<MemberId>,
     /// Identifies it.
-    pub identity: Identity,
+    pub identity: MemberId,
     /// Names the host.
     pub name: String,
 }
--- a/crates/transport/examples/durability.rs
+++ b/crates/transport/examples/durability.rs
@@ -11,7 +11,7 @@
 
 use coordination::machine::Command;
 use coordination::machine::Machine;
-use coordination::quorum::Identity;
+use coordination::quorum::MemberId;
 use coordination::raft_entry::Entry;
 use coordination::raft_entry::Payload;
 use coordination::raft_entry::Position;
@@ -52,7 +52,7 @@
     let path = folder.join(name);
     let _ = fs::remove_dir_all(&path);
     let disk = Folder::open(path).expect("the folder opens");
-    Store::open(disk, Identity(1))
+    Store::open(disk, MemberId(1))
         .expect("the folder is empty")
         .0
 }
@@ -88,7 +88,7 @@
         drop(store);
         let began = Instant::now();
         let disk = Folder::open(folder.join("recovery")).expect("the folder opens");
-        let (store, report) = Store::open(disk, Identity(1)).expect("the log is whole");
+        let (store, report) = Store::open(disk, MemberId(1)).expect("the log is whole");
         let read = began.elapsed();
         let mut machine = Machine::default();
         for entry in &store.recovered().entries {
--- a/crates/transport/src/store.rs
+++ b/crates/transport/src/store.rs
@@ -15,7 +15,7 @@
 use crate::disk::Disk;
 use crate::log_frame;
 use crate::log_frame::Found;
-use coordination::quorum::Identity;
+use coordination::quorum::MemberId;
 use coordination::raft_entry::Record;
 use coordination::raft_entry::Recovered;
 use coordination::raft_entry::Snapshot;
@@ -65,7 +65,7 @@
 
 #[derive(Debug, Deserialize, Serialize)]
 struct Format {
-    identity: Identity,
+    identity: MemberId,
     version: u32,
 }
 
@@ -83,7 +83,7 @@
 pub struct Store<D> {
     disk: D,
     generation: u64,
-    identity: Identity,
+    identity: MemberId,
     kept: Recovered,
     length: u64,
     poisoned: bool,
@@ -96,7 +96,7 @@
     /// # Errors
     ///
     /// Returns an error when the folder is foreign, damaged, of another version or unreadable.
-    pub fn open(mut disk: D, fresh: Identity) -> Result<(Self, Report), Error> {
+    pub fn open(mut disk: D, fresh: MemberId) -> Result<(Self, Report), Error> {
         let identity = identify(&mut disk, fresh)?;
         let files = disk.list()?;
         let generation = files.iter().filter_map(|file| first_segment(file)).max();
@@ -120,7 +120,7 @@
     }
 
     /// Returns the identity of the folder.
-    pub fn identity(&self) -> Identity {
+    pub fn identity(&self) -> MemberId {
         self.identity
     }
 
@@ -239,7 +239,7 @@
     }
 }
 
-fn identify(disk: &mut impl Disk, fresh: Identity) -> Result<Identity, Error> {
+fn identify(disk: &mut impl Disk, fresh: MemberId) -> Result<MemberId, Error> {
     let files = disk.list()?;
     if files.iter().any(|file| file == FORMAT) {
         let bytes = disk.read(FORMAT)?;
--- a/crates/transport/tests/store.rs
+++ b/crates/transport/tests/store.rs
@@ -8,7 +8,7 @@
 
 use assert_matches::assert_matches;
 
-use coordination::quorum::Identity;
+use coordination::quorum::MemberId;
 use coordination::raft_entry::Entry;
 use coordination::raft_entry::Hard;
 use coordination::raft_entry::Meta;
@@ -24,7 +24,7 @@
 use transport::store::Report;
 use transport::store::Store;
 
-const ME: Identity = Identity(7);
+const ME: MemberId = MemberId(7);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Call {
