--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -22,13 +22,13 @@
 use crate::quorum::Member;
 use crate::quorum::MemberId;
 use crate::raft_entry::Entry;
-use crate::raft_entry::Hard;
-use crate::raft_entry::Meta;
+use crate::raft_entry::HardState;
 use crate::raft_entry::Payload;
 use crate::raft_entry::Position;
 use crate::raft_entry::Record;
 use crate::raft_entry::Recovered;
 use crate::raft_entry::Snapshot;
+use crate::raft_entry::SnapshotMeta;
 use crate::raft_leadership::Leader;
 use crate::raft_log::Log;
 use crate::raft_message::Body;
@@ -125,7 +125,7 @@
 #[derive(Debug)]
 pub(crate) struct Incoming {
     pub(crate) data: Vec<u8>,
-    pub(crate) meta: Meta,
+    pub(crate) meta: SnapshotMeta,
 }
 
 /// Holds one member of the replicated log.
@@ -135,7 +135,7 @@
     pub(crate) commit: u64,
     pub(crate) effects: Vec<Effect>,
     pub(crate) election_due: Instant,
-    pub(crate) hard: Hard,
+    pub(crate) hard_state: HardState,
     pub(crate) heard: Instant,
     held: VecDeque<(u64, Envelope)>,
     pub(crate) identity: MemberId,
@@ -170,7 +170,7 @@
             commit: start,
             effects: Vec::new(),
             election_due: now,
-            hard: recovered.hard,
+            hard_state: recovered.hard_state,
             heard: now,
             held: VecDeque::new(),
             identity,
@@ -274,7 +274,7 @@
 
     /// Returns the newest term seen.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     pub(crate) fn apply(&mut self) {
@@ -303,7 +303,7 @@
     }
 
     fn bootstrap(&mut self, member: Member) {
-        if self.log.last() != Position::default() || self.hard != Hard::default() {
+        if self.log.last() != Position::default() || self.hard_state != HardState::default() {
             return;
         }
         let position = Position { term: 1, index: 1 };
@@ -319,11 +319,11 @@
             members,
         };
         let entry = Entry {
-            at: 0,
+            log_time_ms: 0,
             payload: Payload::Config(config),
             position,
         };
-        self.set_hard(Hard {
+        self.set_hard(HardState {
             term: 1,
             vote: None,
         });
@@ -383,10 +383,10 @@
         effects
     }
 
-    pub(crate) fn set_hard(&mut self, hard: Hard) {
-        if hard != self.hard {
-            self.hard = hard;
-            self.records.push(Record::Hard(hard));
+    pub(crate) fn set_hard(&mut self, hard_state: HardState) {
+        if hard_state != self.hard_state {
+            self.hard_state = hard_state;
+            self.records.push(Record::HardState(hard_state));
         }
     }
 
--- a/crates/coordination/src/raft_election.rs
+++ b/crates/coordination/src/raft_election.rs
@@ -5,7 +5,7 @@
 use crate::quorum::MemberId;
 use crate::raft::Raft;
 use crate::raft::State;
-use crate::raft_entry::Hard;
+use crate::raft_entry::HardState;
 use crate::raft_entry::Position;
 use crate::raft_leadership::Leader;
 use crate::raft_message::Body;
@@ -20,7 +20,7 @@
         self.fail_reads();
         self.state = State::PreCandidate(BTreeSet::new());
         let last = self.log.last();
-        let term = self.hard.term + 1;
+        let term = self.hard_state.term + 1;
         for peer in self.other_voters() {
             self.send(peer, term, Body::PreVote { last });
         }
@@ -50,8 +50,8 @@
     /// Follows `leader`, or nobody yet, in `term`.
     pub(crate) fn follow(&mut self, term: u64, leader: Option<MemberId>) {
         self.fail_reads();
-        if term > self.hard.term {
-            self.set_hard(Hard { term, vote: None });
+        if term > self.hard_state.term {
+            self.set_hard(HardState { term, vote: None });
         }
         let stays = matches!(self.state, State::Follower(_));
         self.state = State::Follower(leader);
@@ -61,42 +61,42 @@
     }
 
     pub(crate) fn on_pre_vote(&mut self, from: MemberId, term: u64, last: Position) {
-        let granted = term > self.hard.term && last >= self.log.last() && !self.promised();
-        let reply = if granted { term } else { self.hard.term };
+        let granted = term > self.hard_state.term && last >= self.log.last() && !self.promised();
+        let reply = if granted { term } else { self.hard_state.term };
         self.send(from, reply, Body::PreVoteReply { granted });
     }
 
     pub(crate) fn on_pre_vote_reply(&mut self, from: MemberId, term: u64, granted: bool) {
-        let expected = term == self.hard.term + 1;
+        let expected = term == self.hard_state.term + 1;
         if granted && expected && matches!(self.state, State::PreCandidate(_)) {
             self.count(from);
         }
     }
 
     pub(crate) fn on_vote(&mut self, from: MemberId, term: u64, last: Position) {
-        if term < self.hard.term {
+        if term < self.hard_state.term {
             let granted = false;
-            return self.send_synced(from, self.hard.term, Body::VoteReply { granted });
+            return self.send_synced(from, self.hard_state.term, Body::VoteReply { granted });
         }
-        let again = term == self.hard.term && self.hard.vote == Some(from);
+        let again = term == self.hard_state.term && self.hard_state.vote == Some(from);
         if self.promised() && !again {
             return;
         }
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             self.follow(term, None);
         }
-        let free = self.hard.vote.is_none_or(|vote| vote == from);
+        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
         let granted = free && last >= self.log.last() && matches!(self.state, State::Follower(_));
         if granted {
             let vote = Some(from);
-            self.set_hard(Hard { term, vote });
+            self.set_hard(HardState { term, vote });
             self.defer_election();
         }
         self.send_synced(from, term, Body::VoteReply { granted });
     }
 
     pub(crate) fn on_vote_reply(&mut self, from: MemberId, term: u64, granted: bool) {
-        if granted && term == self.hard.term && matches!(self.state, State::Candidate(_)) {
+        if granted && term == self.hard_state.term && matches!(self.state, State::Candidate(_)) {
             self.count(from);
         }
     }
@@ -109,22 +109,22 @@
 
     fn campaign(&mut self) {
         self.defer_election();
-        let hard = Hard {
-            term: self.hard.term + 1,
+        let hard_state = HardState {
+            term: self.hard_state.term + 1,
             vote: Some(self.identity),
         };
-        self.set_hard(hard);
+        self.set_hard(hard_state);
         self.voted = self.sequence + 1;
         self.state = State::Candidate(BTreeSet::new());
         let last = self.log.last();
         for peer in self.other_voters() {
-            self.send_synced(peer, hard.term, Body::Vote { last });
+            self.send_synced(peer, hard_state.term, Body::Vote { last });
         }
     }
 
     fn lead(&mut self) {
         let last = self.log.last();
-        let mut leader = Leader::new(self.now, self.log.at(), last.index);
+        let mut leader = Leader::new(self.now, self.log.last_time_ms(), last.index);
         leader.track(self.log.config(), self.identity, last.index + 1);
         self.state = State::Leader(Box::new(leader));
         self.begin_term();
--- a/crates/coordination/src/raft_entry.rs
+++ b/crates/coordination/src/raft_entry.rs
@@ -27,14 +27,14 @@
     /// Holds the members from this entry on.
     Config(Config),
     /// Marks the start of a term.
-    Empty,
+    NoOp,
 }
 
 /// Holds one entry of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
     /// Gives the log's time at which the leader took the entry, in milliseconds.
-    pub at: u64,
+    pub log_time_ms: u64,
     /// Holds what it says.
     pub payload: Payload,
     /// Names its place.
@@ -49,14 +49,14 @@
         match &self.payload {
             Payload::Command(bytes) => OVERHEAD + bytes.len(),
             Payload::Config(config) => OVERHEAD + MEMBER * config.members.len(),
-            Payload::Empty => OVERHEAD,
+            Payload::NoOp => OVERHEAD,
         }
     }
 }
 
 /// Holds the promises that must outlive a restart.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Hard {
+pub struct HardState {
     /// Gives the newest term seen.
     pub term: u64,
     /// Names the candidate voted for in that term.
@@ -65,9 +65,9 @@
 
 /// Describes a snapshot without its data.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Meta {
+pub struct SnapshotMeta {
     /// Gives the log's time of the last entry that it covers.
-    pub at: u64,
+    pub log_time_ms: u64,
     /// Holds the members as of that entry.
     pub config: Config,
     /// Names the last entry that it covers.
@@ -80,7 +80,7 @@
     /// Holds the encoded state machine.
     pub data: Arc<[u8]>,
     /// Describes it.
-    pub meta: Meta,
+    pub meta: SnapshotMeta,
 }
 
 /// Describes one change of the disk; records are written in the order they are given in.
@@ -91,7 +91,7 @@
     /// Appends entries, after removing those at and after the first one's index.
     Entries(Vec<Entry>),
     /// Replaces the promises.
-    Hard(Hard),
+    HardState(HardState),
     /// Replaces the whole log by a snapshot received from the leader.
     Install(Arc<Snapshot>),
 }
@@ -102,14 +102,14 @@
     /// Holds the entries after the snapshot, in order and without a gap.
     pub entries: Vec<Entry>,
     /// Holds the promises.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// Holds the newest snapshot.
     pub snapshot: Arc<Snapshot>,
 }
 
 impl Recovered {
     /// Brings in one record, as a start does for each that it reads.
-    pub fn take(&mut self, record: Record) {
+    pub fn apply(&mut self, record: Record) {
         match record {
             Record::Compact(snapshot) => {
                 let index = snapshot.meta.position.index;
@@ -126,7 +126,7 @@
                 }
                 self.entries.extend(entries);
             }
-            Record::Hard(hard) => self.hard = hard,
+            Record::HardState(hard_state) => self.hard_state = hard_state,
             Record::Install(snapshot) => {
                 self.entries.clear();
                 self.snapshot = snapshot;
--- a/crates/coordination/src/raft_follower.rs
+++ b/crates/coordination/src/raft_follower.rs
@@ -8,10 +8,10 @@
 use crate::raft::Raft;
 use crate::raft::State;
 use crate::raft_entry::Entry;
-use crate::raft_entry::Meta;
 use crate::raft_entry::Position;
 use crate::raft_entry::Record;
 use crate::raft_entry::Snapshot;
+use crate::raft_entry::SnapshotMeta;
 use crate::raft_message::Body;
 use crate::raft_message::Envelope;
 
@@ -37,14 +37,14 @@
                 return self.on_pre_vote_reply(from, term, granted);
             }
             Body::Vote { last } => return self.on_vote(from, term, last),
-            _ if term > self.hard.term => self.follow(term, None),
+            _ if term > self.hard_state.term => self.follow(term, None),
             _ => {}
         }
-        let current = term == self.hard.term;
+        let current = term == self.hard_state.term;
         match body {
             Body::Append { round, .. } | Body::Piece { round, .. } if !current => {
                 let hint = 0;
-                self.send_synced(from, self.hard.term, Body::Rejected { hint, round });
+                self.send_synced(from, self.hard_state.term, Body::Rejected { hint, round });
             }
             Body::Append {
                 commit,
@@ -94,7 +94,7 @@
         let known = previous.index < base || self.log.term(previous.index) == Some(previous.term);
         if !known {
             let hint = self.hint(previous);
-            let term = self.hard.term;
+            let term = self.hard_state.term;
             return self.send_synced(from, term, Body::Rejected { hint, round });
         }
         let matched = previous.index + entries.len() as u64;
@@ -102,7 +102,7 @@
         self.commit_to(commit.min(matched));
         let matched = matched.max(base.min(self.commit));
         let accepted = Body::Accepted { matched, round };
-        self.send_synced(from, self.hard.term, accepted);
+        self.send_synced(from, self.hard_state.term, accepted);
     }
 
     fn commit_to(&mut self, index: u64) {
@@ -129,7 +129,7 @@
     fn hear(&mut self, leader: MemberId) {
         let known = matches!(self.state, State::Follower(Some(known)) if known == leader);
         if !known {
-            self.follow(self.hard.term, Some(leader));
+            self.follow(self.hard_state.term, Some(leader));
         }
         self.heard = self.now;
         self.defer_election();
@@ -148,7 +148,7 @@
         index
     }
 
-    fn install(&mut self, meta: Meta, data: Vec<u8>) {
+    fn install(&mut self, meta: SnapshotMeta, data: Vec<u8>) {
         let snapshot = Arc::new(Snapshot {
             data: data.into(),
             meta,
@@ -165,13 +165,13 @@
         &mut self,
         from: MemberId,
         round: u64,
-        meta: Meta,
+        meta: SnapshotMeta,
         offset: u64,
         data: &[u8],
         total: u64,
     ) {
         let position = meta.position;
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         if position.index <= self.commit || self.log.term(position.index) == Some(position.term) {
             self.commit_to(position.index);
             let matched = position.index;
--- a/crates/coordination/src/raft_leader.rs
+++ b/crates/coordination/src/raft_leader.rs
@@ -29,13 +29,13 @@
         let own = self.identity;
         let config = self.log.config();
         let agreed = config.majority_value(|id| leader.matched(id, own));
-        if agreed > self.commit && self.log.term(agreed) == Some(self.hard.term) {
+        if agreed > self.commit && self.log.term(agreed) == Some(self.hard_state.term) {
             self.commit = agreed;
             self.apply();
         }
         let gone = !self.config().members.contains_key(&own);
         if gone && self.commit >= self.log.config_index() {
-            return self.follow(self.hard.term, None);
+            return self.follow(self.hard_state.term, None);
         }
         self.answer_reads();
     }
@@ -47,7 +47,7 @@
             return;
         };
         if self.now.since(leader.checked) >= limit && leader.members.values().len() > 0 {
-            return self.follow(self.hard.term, None);
+            return self.follow(self.hard_state.term, None);
         }
         if self.now < leader.heartbeat_due {
             return;
@@ -58,7 +58,7 @@
 
     /// Starts the term with an entry of its own, which lets it commit those of earlier terms.
     pub(crate) fn begin_term(&mut self) {
-        self.push(Payload::Empty);
+        self.push(Payload::NoOp);
         self.start_round();
         self.renew();
     }
@@ -179,16 +179,16 @@
     }
 
     fn push(&mut self, payload: Payload) -> Position {
-        let at = match &self.state {
-            State::Leader(leader) => leader.at(self.now),
-            _ => self.log.at(),
+        let log_time_ms = match &self.state {
+            State::Leader(leader) => leader.log_time_ms(self.now),
+            _ => self.log.last_time_ms(),
         };
         let position = Position {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: self.log.last().index + 1,
         };
         let entry = Entry {
-            at,
+            log_time_ms,
             payload,
             position,
         };
@@ -234,7 +234,7 @@
 
     fn send_entries(&mut self, peer: MemberId) {
         while let Some(body) = self.next_batch(peer) {
-            self.send(peer, self.hard.term, body);
+            self.send(peer, self.hard_state.term, body);
         }
     }
 
@@ -301,7 +301,7 @@
                 previous: Position { term, index },
                 round: leader.round,
             };
-            self.send(peer, self.hard.term, body);
+            self.send(peer, self.hard_state.term, body);
         }
         self.send_entries(peer);
     }
@@ -332,7 +332,7 @@
             round: leader.round,
             total: total as u64,
         };
-        self.send(peer, self.hard.term, body);
+        self.send(peer, self.hard_state.term, body);
     }
 
     fn start_round(&mut self) {
--- a/crates/coordination/src/raft_leadership.rs
+++ b/crates/coordination/src/raft_leadership.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns the log's time at `now`.
-    pub(crate) fn at(&self, now: Instant) -> u64 {
+    pub(crate) fn log_time_ms(&self, now: Instant) -> u64 {
         self.base + now.since(self.since)
     }
 
--- a/crates/coordination/src/raft_log.rs
+++ b/crates/coordination/src/raft_log.rs
@@ -5,10 +5,10 @@
 
 use crate::quorum::Config;
 use crate::raft_entry::Entry;
-use crate::raft_entry::Meta;
 use crate::raft_entry::Payload;
 use crate::raft_entry::Position;
 use crate::raft_entry::Snapshot;
+use crate::raft_entry::SnapshotMeta;
 
 /// Holds the newest snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
@@ -28,9 +28,9 @@
     }
 
     /// Returns the log's time of the last entry.
-    pub fn at(&self) -> u64 {
+    pub fn last_time_ms(&self) -> u64 {
         let last = self.entries.back();
-        last.map_or(self.snapshot.meta.at, |entry| entry.at)
+        last.map_or(self.snapshot.meta.log_time_ms, |entry| entry.log_time_ms)
     }
 
     /// Returns entries from `index` on, at least one where there is one, up to `bytes`.
@@ -55,8 +55,8 @@
             return None;
         }
         let entry = self.entries.get(self.offset(index))?;
-        let meta = Meta {
-            at: entry.at,
+        let meta = SnapshotMeta {
+            log_time_ms: entry.log_time_ms,
             config: self.config_at(index).clone(),
             position: entry.position,
         };
--- a/crates/coordination/src/raft_message.rs
+++ b/crates/coordination/src/raft_message.rs
@@ -5,8 +5,8 @@
 
 use crate::quorum::MemberId;
 use crate::raft_entry::Entry;
-use crate::raft_entry::Meta;
 use crate::raft_entry::Position;
+use crate::raft_entry::SnapshotMeta;
 
 /// Carries one message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -63,7 +63,7 @@
         /// Holds the piece.
         data: Vec<u8>,
         /// Describes the snapshot.
-        meta: Meta,
+        meta: SnapshotMeta,
         /// Gives where the piece starts, in bytes.
         offset: u64,
         /// Numbers the leader's round of messages.
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -186,7 +186,7 @@
         host.epoch += 1;
         host.raft = None;
         for record in unsynced.into_iter().take(kept).flat_map(|(_, r)| r) {
-            host.disk.synced.take(record);
+            host.disk.synced.apply(record);
         }
     }
 
@@ -453,7 +453,7 @@
                 continue;
             };
             let command = Command::decode(bytes).expect("command decodes");
-            let answer = known.machine.apply(entry.at, &command);
+            let answer = known.machine.apply(entry.log_time_ms, &command);
             if let Some((term, id)) = waiting
                 && term == entry.position.term
             {
@@ -490,7 +490,7 @@
             .unsynced
             .extract_if(.., |(number, _)| *number <= sequence);
         for record in done.collect::<Vec<_>>().into_iter().flat_map(|(_, r)| r) {
-            disk.synced.take(record);
+            disk.synced.apply(record);
         }
     }
 
--- a/crates/hibiscushoistd/src/voter_duty.rs
+++ b/crates/hibiscushoistd/src/voter_duty.rs
@@ -301,8 +301,8 @@
             self.due.bytes += entry.size();
             let waiting = self.due.commands.remove(&entry.position.index);
             let answer = match &entry.payload {
-                Payload::Command(bytes) => self.execute(entry.at, bytes),
-                Payload::Config(_) | Payload::Empty => None,
+                Payload::Command(bytes) => self.execute(entry.log_time_ms, bytes),
+                Payload::Config(_) | Payload::NoOp => None,
             };
             if let Some((term, waiter)) = waiting {
                 match term == entry.position.term {
--- a/crates/transport/examples/durability.rs
+++ b/crates/transport/examples/durability.rs
@@ -94,7 +94,7 @@
         for entry in &store.recovered().entries {
             if let Payload::Command(bytes) = &entry.payload {
                 let command = Command::decode(bytes).expect("command decodes");
-                machine.apply(entry.at, &command);
+                machine.apply(entry.log_time_ms, &command);
             }
         }
         let whole = began.elapsed();
@@ -197,7 +197,7 @@
 fn entry(index: u64) -> Entry {
     let command = begin(index).encode().expect("command encodes");
     Entry {
-        at: index,
+        log_time_ms: index,
         payload: Payload::Command(command.into()),
         position: Position { term: 1, index },
     }
--- a/crates/transport/src/store.rs
+++ b/crates/transport/src/store.rs
@@ -144,14 +144,17 @@
             false => self.append(&records),
             true => {
                 let mut next = self.kept.clone();
-                records.iter().cloned().for_each(|record| next.take(record));
+                records
+                    .iter()
+                    .cloned()
+                    .for_each(|record| next.apply(record));
                 return self.renew(next);
             }
         };
         if result.is_ok() {
             records
                 .into_iter()
-                .for_each(|record| self.kept.take(record));
+                .for_each(|record| self.kept.apply(record));
         }
         result
     }
@@ -185,7 +188,7 @@
     fn renew(&mut self, next: Recovered) -> Result<(), Error> {
         let generation = self.generation + 1;
         let start = vec![
-            Record::Hard(next.hard),
+            Record::HardState(next.hard_state),
             Record::Entries(next.entries.clone()),
         ];
         let log = log_frame::encode(&start)?;
@@ -294,7 +297,7 @@
             match log_frame::read::<Vec<Record>>(&bytes, place) {
                 Found::End => break,
                 Found::Frame { next, value } => {
-                    value.into_iter().for_each(|record| kept.take(record));
+                    value.into_iter().for_each(|record| kept.apply(record));
                     place = next;
                 }
                 Found::Torn if number + 1 == segments.len() && (number, place) != (0, 0) => {
--- a/crates/transport/tests/store.rs
+++ b/crates/transport/tests/store.rs
@@ -10,13 +10,13 @@
 
 use coordination::quorum::MemberId;
 use coordination::raft_entry::Entry;
-use coordination::raft_entry::Hard;
-use coordination::raft_entry::Meta;
+use coordination::raft_entry::HardState;
 use coordination::raft_entry::Payload;
 use coordination::raft_entry::Position;
 use coordination::raft_entry::Record;
 use coordination::raft_entry::Recovered;
 use coordination::raft_entry::Snapshot;
+use coordination::raft_entry::SnapshotMeta;
 use transport::disk;
 use transport::disk::Disk;
 use transport::disk::Folder;
@@ -177,7 +177,7 @@
 
 fn entries(first: u64, last: u64) -> Record {
     let entry = |index| Entry {
-        at: index,
+        log_time_ms: index,
         payload: Payload::Command(vec![index as u8; 40].into()),
         position: Position { term: 1, index },
     };
@@ -185,16 +185,16 @@
 }
 
 fn hard(term: u64) -> Record {
-    Record::Hard(Hard { term, vote: None })
+    Record::HardState(HardState { term, vote: None })
 }
 
 fn snapshot(index: u64) -> Arc<Snapshot> {
     Arc::new(Snapshot {
         data: vec![9; 300].into(),
-        meta: Meta {
-            at: index,
+        meta: SnapshotMeta {
+            log_time_ms: index,
             position: Position { term: 1, index },
-            ..Meta::default()
+            ..SnapshotMeta::default()
         },
     })
 }
@@ -217,7 +217,7 @@
 fn written(records: &[Vec<Record>]) -> Recovered {
     let mut recovered = Recovered::default();
     for record in records.iter().flatten() {
-        recovered.take(record.clone());
+        recovered.apply(record.clone());
     }
     recovered
 }
@@ -369,7 +369,7 @@
     let (mut store, _) = open(&disk);
     let large = |index| {
         Record::Entries(vec![Entry {
-            at: 0,
+            log_time_ms: 0,
             payload: Payload::Command(vec![1; 3 << 20].into()),
             position: Position { term: 1, index },
         }])
