--- a/crates/coordination/examples/assign_slope.rs
+++ b/crates/coordination/examples/assign_slope.rs
@@ -13,12 +13,12 @@
 use coordination::holders::Holding;
 use coordination::holders::Place;
 use coordination::holders::Prompt;
-use coordination::tally::Load;
-use coordination::tally::Loads;
 use coordination::upstream::Edition;
 use coordination::upstream::Fleet;
 use coordination::upstream::Standing;
 use coordination::upstream::Upstream;
+use coordination::upstream_load::UpstreamLoad;
+use coordination::upstream_load::UpstreamLoads;
 use state::time;
 
 /// Counts the engines of the grown sites, of a sweep and of the target.
@@ -71,12 +71,12 @@
     format!("i-{engine:010x}")
 }
 
-fn loads(engines: usize) -> Loads {
-    let load = |engine: usize| Load {
+fn loads(engines: usize) -> UpstreamLoads {
+    let load = |engine: usize| UpstreamLoad {
         long_tokens: 17_000,
-        quiet_ms: None,
+        last_byte_age_ms: None,
         running: 12,
-        unread_tokens: (engine as u64 % 7) * 3_000,
+        pending_prefill_tokens: (engine as u64 % 7) * 3_000,
     };
     (0..engines)
         .map(|engine| (id(engine), load(engine)))
--- a/crates/coordination/src/assignment.rs
+++ b/crates/coordination/src/assignment.rs
@@ -14,9 +14,9 @@
 use crate::dispatch::Dispatch;
 use crate::dispatch::Run;
 use crate::holders::Holding;
-use crate::tally::Loads;
 use crate::upstream::Edition;
 use crate::upstream::Fleet;
+use crate::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
 /// Gives how long an assigned prompt counts that no report has covered, in milliseconds; hosts
@@ -74,7 +74,7 @@
         &mut self,
         now: Instant,
         fleet: &Fleet,
-        loads: &Loads,
+        loads: &UpstreamLoads,
         ask: Ask,
     ) -> Result<Choice, Refusal> {
         if self.edition != fleet.edition {
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -21,11 +21,11 @@
 use crate::shard;
 use crate::silence::Silence;
 use crate::silence::Ticket;
-use crate::tally::Load;
-use crate::tally::Loads;
 use crate::upstream;
 use crate::upstream::Fleet;
 use crate::upstream::Upstream;
+use crate::upstream_load::UpstreamLoad;
+use crate::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
 /// Counts the prompt tokens that an engine reads in a millisecond: engines of this class read 62 by
@@ -89,18 +89,18 @@
     long_tokens: u64,
     refused: Option<Instant>,
     running: u32,
-    unread_tokens: u64,
+    pending_prefill_tokens: u64,
     weights: BTreeMap<String, u64>,
 }
 
 impl Seen {
     /// Returns what this host has under way.
-    fn load(&self, quiet_ms: Option<u64>) -> Load {
-        Load {
+    fn load(&self, last_byte_age_ms: Option<u64>) -> UpstreamLoad {
+        UpstreamLoad {
             long_tokens: self.long_tokens,
-            quiet_ms,
+            last_byte_age_ms,
             running: self.running,
-            unread_tokens: self.unread_tokens,
+            pending_prefill_tokens: self.pending_prefill_tokens,
         }
     }
 }
@@ -119,7 +119,7 @@
     breaker: Breaker,
     grants: Vec<u64>,
     holders: Holders,
-    others: (Instant, Loads),
+    others: (Instant, UpstreamLoads),
     seen: BTreeMap<String, Seen>,
     silence: Silence,
 }
@@ -201,8 +201,8 @@
         let long_tokens = demand.shared.as_ref().map_or(0, |_| demand.prompt_tokens);
         seen.long_tokens += long_tokens;
         seen.running += 1;
-        seen.unread_tokens += tokens;
-        let work_ms = 2 * self.load(now, &id).unread_tokens / READ_TOKENS_PER_MS;
+        seen.pending_prefill_tokens += tokens;
+        let work_ms = 2 * self.load(now, &id).pending_prefill_tokens / READ_TOKENS_PER_MS;
         let ticket = self.silence.sent(now, id.clone(), work_ms);
         Run {
             id,
@@ -220,19 +220,19 @@
     }
 
     /// Returns what this host has under way at upstreams.
-    pub fn loads(&self, now: Instant) -> Loads {
+    pub fn loads(&self, now: Instant) -> UpstreamLoads {
         let busy = self.seen.iter().filter(|(_, seen)| seen.running > 0);
         let load = |(id, seen): (&String, &Seen)| {
-            let quiet_ms = self.silence.quiet_ms(now, id);
-            (id.clone(), seen.load(quiet_ms))
+            let last_byte_age_ms = self.silence.last_byte_age_ms(now, id);
+            (id.clone(), seen.load(last_byte_age_ms))
         };
         busy.map(load).collect()
     }
 
     /// Notes what other hosts have under way at upstreams.
-    pub fn heard_of(&mut self, now: Instant, others: Loads) {
+    pub fn heard_of(&mut self, now: Instant, others: UpstreamLoads) {
         for (id, load) in &others {
-            if let Some(quiet) = load.quiet_ms {
+            if let Some(quiet) = load.last_byte_age_ms {
                 self.silence.heard_elsewhere(now.before(quiet), id);
             }
         }
@@ -261,7 +261,7 @@
         self.heard(now, run);
         self.silence.ended(&run.id, run.ticket);
         if let Some(seen) = self.seen.get_mut(&run.id) {
-            seen.unread_tokens = seen.unread_tokens.saturating_sub(run.tokens);
+            seen.pending_prefill_tokens = seen.pending_prefill_tokens.saturating_sub(run.tokens);
             run.tokens = 0;
         }
     }
@@ -310,7 +310,7 @@
         if let Some(seen) = self.seen.get_mut(&run.id) {
             seen.long_tokens = seen.long_tokens.saturating_sub(run.long_tokens);
             seen.running = seen.running.saturating_sub(1);
-            seen.unread_tokens = seen.unread_tokens.saturating_sub(run.tokens);
+            seen.pending_prefill_tokens = seen.pending_prefill_tokens.saturating_sub(run.tokens);
         }
     }
 
@@ -438,17 +438,17 @@
     }
 
     /// Returns what all hosts have under way at an upstream.
-    fn load(&self, now: Instant, id: &str) -> Load {
+    fn load(&self, now: Instant, id: &str) -> UpstreamLoad {
         let own = self.seen.get(id).map(|seen| seen.load(None));
         let own = own.unwrap_or_default();
         let fresh = now.since(self.others.0) <= LOAD_AGE_MS;
         let others = self.others.1.get(id).copied().filter(|_| fresh);
         let others = others.unwrap_or_default();
-        Load {
+        UpstreamLoad {
             long_tokens: own.long_tokens + others.long_tokens,
-            quiet_ms: None,
+            last_byte_age_ms: None,
             running: own.running + others.running,
-            unread_tokens: own.unread_tokens + others.unread_tokens,
+            pending_prefill_tokens: own.pending_prefill_tokens + others.pending_prefill_tokens,
         }
     }
 
@@ -457,7 +457,7 @@
         let running_ms = u64::from(load.running) * RUNNING_MS;
         let cached = self.cached(now, upstream, demand);
         Candidate {
-            backlog_ms: load.unread_tokens / READ_TOKENS_PER_MS + running_ms,
+            backlog_ms: load.pending_prefill_tokens / READ_TOKENS_PER_MS + running_ms,
             connected: demand.connected.contains(&upstream.address),
             holds: cached == Cached::Here,
             id: upstream.id.clone(),
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -54,7 +54,7 @@
 pub mod shard;
 pub mod silence;
 pub mod stream;
-pub mod tally;
 pub mod upstream;
+pub mod upstream_load;
 pub mod view;
 pub mod voters;
--- a/crates/coordination/src/outlook.rs
+++ b/crates/coordination/src/outlook.rs
@@ -12,9 +12,9 @@
 
 use crate::bulletin::Mark;
 use crate::holders::Holding;
-use crate::tally::Loads;
 use crate::upstream::Edition;
 use crate::upstream::Fleet;
+use crate::upstream_load::UpstreamLoads;
 use state::routing::Table;
 use state::time::Instant;
 
@@ -30,7 +30,7 @@
     /// Names the host.
     pub host: String,
     /// Tells what the host has under way at upstreams.
-    pub loads: Loads,
+    pub loads: UpstreamLoads,
     /// Tells where the host has seen shared prompts since it asked last.
     pub told: Vec<Holding>,
     /// Gives the version of the routed table that the host has.
@@ -45,7 +45,7 @@
     /// Tells where other hosts have seen shared prompts.
     pub holdings: Vec<Holding>,
     /// Tells what other hosts have under way at upstreams.
-    pub loads: Loads,
+    pub loads: UpstreamLoads,
     /// Names the last entry of the bulletin.
     pub mark: Mark,
     /// Holds the routed table, where the host lacks this version.
--- a/crates/coordination/src/reload.rs
+++ b/crates/coordination/src/reload.rs
@@ -13,8 +13,8 @@
 use strum::Display;
 use strum::IntoStaticStr;
 
-use crate::tally::Loads;
-use crate::upstream::Seen;
+use crate::upstream::ListedUpstream;
+use crate::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
 /// Tells what becomes of the requests that run when weights change.
@@ -124,9 +124,9 @@
     /// Tells that this host leads from now on.
     Led,
     /// Brings the upstreams of the platform's list.
-    Listed(Vec<Seen>),
+    Listed(Vec<ListedUpstream>),
     /// Tells what all hosts have under way at engines.
-    Loaded(Loads),
+    Loaded(UpstreamLoads),
     /// Brings the newest weights versions.
     Named(BTreeMap<String, u64>),
     /// Brings what an engine says, or that it did not answer.
@@ -178,7 +178,7 @@
     not_before: Instant,
     ordered: Instant,
     phase: Phase,
-    seen: Seen,
+    seen: ListedUpstream,
     weights: BTreeMap<String, u64>,
 }
 
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug)]
 pub struct Reload {
     engines: BTreeMap<String, Engine>,
-    loads: Loads,
+    loads: UpstreamLoads,
     named: BTreeMap<String, u64>,
     orders_from: Option<Instant>,
     policy: Policy,
@@ -197,7 +197,7 @@
     pub fn new(policy: Policy) -> Self {
         Self {
             engines: BTreeMap::new(),
-            loads: Loads::new(),
+            loads: UpstreamLoads::new(),
             named: BTreeMap::new(),
             orders_from: None,
             policy,
@@ -236,7 +236,7 @@
         }
     }
 
-    fn listed(&mut self, seen: Vec<Seen>) {
+    fn listed(&mut self, seen: Vec<ListedUpstream>) {
         let mut old = std::mem::take(&mut self.engines);
         for seen in seen.into_iter().filter(|seen| !seen.weights.is_empty()) {
             let known = old.remove(&seen.id);
--- a/crates/coordination/src/silence.rs
+++ b/crates/coordination/src/silence.rs
@@ -62,7 +62,7 @@
 
     /// Returns the time since this host had a byte of the upstream, in milliseconds, if it ever
     /// had.
-    pub fn quiet_ms(&self, now: Instant, id: &str) -> Option<u64> {
+    pub fn last_byte_age_ms(&self, now: Instant, id: &str) -> Option<u64> {
         let heard = self.upstreams.get(id)?.heard;
         (heard > Instant::default()).then(|| now.since(heard))
     }
--- a/crates/coordination/src/upstream.rs
+++ b/crates/coordination/src/upstream.rs
@@ -9,7 +9,7 @@
 
 /// Describes one upstream as the platform's list shows it, which may be late.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seen {
+pub struct ListedUpstream {
     /// Holds its address, which another upstream may have had before.
     pub address: SocketAddr,
     /// Names its failure domain.
--- a/crates/coordination/src/tally.rs
+++ b/crates/coordination/src/upstream_load.rs
@@ -13,56 +13,61 @@
 
 /// Counts what is under way at one upstream.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Load {
+pub struct UpstreamLoad {
     /// Counts the tokens of the requests whose prompts are long.
     pub long_tokens: u64,
     /// Gives the time since the upstream sent a byte to any host, in milliseconds, where it did
     /// lately.
-    pub quiet_ms: Option<u64>,
+    pub last_byte_age_ms: Option<u64>,
     /// Counts the requests.
     pub running: u32,
     /// Counts the prompt tokens of requests that have not begun to answer.
-    pub unread_tokens: u64,
+    pub pending_prefill_tokens: u64,
 }
 
 /// Holds the load of upstreams by their names.
-pub type Loads = BTreeMap<String, Load>;
+pub type UpstreamLoads = BTreeMap<String, UpstreamLoad>;
 
 /// Adds up the reports of hosts.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct LoadAggregator {
     heard: BTreeMap<String, Instant>,
-    hosts: BTreeMap<String, (Instant, Loads)>,
-    total: Loads,
+    hosts: BTreeMap<String, (Instant, UpstreamLoads)>,
+    total: UpstreamLoads,
 }
 
-impl Tally {
+impl LoadAggregator {
     /// Takes the report of a host in place of its last one, and returns what the others have under
     /// way.
-    pub fn report(&mut self, now: Instant, host: impl Into<String>, loads: Loads) -> Loads {
+    pub fn report(
+        &mut self,
+        now: Instant,
+        host: impl Into<String>,
+        loads: UpstreamLoads,
+    ) -> UpstreamLoads {
         let host = host.into();
         self.forget(now, &host);
         let mut others = self.total.clone();
         for (upstream, load) in &mut others {
             let heard = self.heard.get(upstream);
-            load.quiet_ms = heard.map(|at| now.since(*at));
+            load.last_byte_age_ms = heard.map(|at| now.since(*at));
         }
         for (upstream, load) in &loads {
-            if let Some(quiet) = load.quiet_ms {
+            if let Some(quiet) = load.last_byte_age_ms {
                 let heard = self.heard.entry(upstream.clone()).or_default();
                 *heard = (*heard).max(now.before(quiet));
             }
             let sum = self.total.entry(upstream.clone()).or_default();
             sum.long_tokens += load.long_tokens;
             sum.running += load.running;
-            sum.unread_tokens += load.unread_tokens;
+            sum.pending_prefill_tokens += load.pending_prefill_tokens;
         }
         self.hosts.insert(host, (now, loads));
         others
     }
 
     /// Returns what all hosts have under way.
-    pub fn total(&self) -> &Loads {
+    pub fn total(&self) -> &UpstreamLoads {
         &self.total
     }
 
@@ -80,8 +85,8 @@
                 if let Some(sum) = self.total.get_mut(&upstream) {
                     sum.long_tokens -= load.long_tokens;
                     sum.running -= load.running;
-                    sum.unread_tokens -= load.unread_tokens;
-                    if *sum == Load::default() {
+                    sum.pending_prefill_tokens -= load.pending_prefill_tokens;
+                    if *sum == UpstreamLoad::default() {
                         self.heard.remove(&upstream);
                         self.total.remove(&upstream);
                     }
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -15,8 +15,8 @@
 use coordination::dispatch::Dispatch;
 use coordination::holders::Holding;
 use coordination::holders::Place;
-use coordination::tally::Loads;
-use coordination::tally::Tally;
+use coordination::upstream_load::LoadAggregator;
+use coordination::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
 const ENGINES: usize = 40;
@@ -65,7 +65,12 @@
     let mut desk = Desk::new(0);
     let assigned: Vec<String> = (0..PROMPTS)
         .map(|n| {
-            let choice = desk.assign(Instant(0), &fleet, &Loads::new(), ask(format!("p{n}")));
+            let choice = desk.assign(
+                Instant(0),
+                &fleet,
+                &UpstreamLoads::new(),
+                ask(format!("p{n}")),
+            );
             choice.unwrap().upstream.id
         })
         .collect();
@@ -78,7 +83,7 @@
     now: Instant,
     choice: &Choice,
     demand: &Demand,
-) -> (Vec<u64>, Loads) {
+) -> (Vec<u64>, UpstreamLoads) {
     let _ = host.sent(now, choice, demand);
     (host.grants(), host.loads(now))
 }
@@ -86,7 +91,8 @@
 #[test]
 fn an_assignment_counts_once_before_and_after_its_host_reports_it() {
     let fleet = fleet(&[("e", 1)]);
-    let (mut desk, mut tally, mut host) = (Desk::new(0), Tally::default(), Dispatch::new(1));
+    let (mut desk, mut tally, mut host) =
+        (Desk::new(0), LoadAggregator::default(), Dispatch::new(1));
     let first = ask("p");
     let choice = desk.assign(Instant(0), &fleet, tally.total(), first.clone());
     let choice = choice.unwrap();
@@ -119,11 +125,11 @@
     let fleet = fleet(&[("e", 1)]);
     let mut desk = Desk::new(0);
     let _ = desk
-        .assign(Instant(0), &fleet, &Loads::new(), ask("p"))
+        .assign(Instant(0), &fleet, &UpstreamLoads::new(), ask("p"))
         .unwrap();
-    let soon = desk.assign(Instant(1_000), &fleet, &Loads::new(), ask("q"));
+    let soon = desk.assign(Instant(1_000), &fleet, &UpstreamLoads::new(), ask("q"));
     assert_eq!(soon, Err(Refusal::Busy));
-    let later = desk.assign(Instant(1_001), &fleet, &Loads::new(), ask("q"));
+    let later = desk.assign(Instant(1_001), &fleet, &UpstreamLoads::new(), ask("q"));
     assert_eq!(later.unwrap().backlog_ms, 0);
 }
 
@@ -135,7 +141,7 @@
             avoided: vec![avoided.to_owned()],
             demand: demand("p"),
         };
-        let choice = Desk::new(0).assign(Instant(0), &fleet, &Loads::new(), ask);
+        let choice = Desk::new(0).assign(Instant(0), &fleet, &UpstreamLoads::new(), ask);
         assert_ne!(choice.unwrap().upstream.id, avoided);
     }
 }
@@ -147,7 +153,7 @@
     let prompt = demand("p").prompt(1).unwrap();
     let place = Place::Engine("e".to_owned());
     desk.reported(Instant(0), &[], &[Holding { place, prompt }]);
-    let loads = Loads::from([("e".to_owned(), unread(40_000))]);
+    let loads = UpstreamLoads::from([("e".to_owned(), unread(40_000))]);
     let choice = desk.assign(Instant(1), &fleet, &loads, ask("p")).unwrap();
     assert_eq!(choice.upstream.id, "f");
     assert_eq!(choice.fetch, Some(clockwork::address("e")));
--- a/crates/coordination/tests/clockwork/mod.rs
+++ b/crates/coordination/tests/clockwork/mod.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use coordination::tally::Load;
 use coordination::upstream::Edition;
 use coordination::upstream::Fleet;
-use coordination::upstream::Seen;
+use coordination::upstream::ListedUpstream;
 use coordination::upstream::Standing;
 use coordination::upstream::Upstream;
+use coordination::upstream_load::UpstreamLoad;
 
 /// Returns an address that differs by `id`.
 pub fn address(id: &str) -> SocketAddr {
@@ -21,8 +21,8 @@
 }
 
 /// Returns an engine as the platform's list shows it.
-pub fn seen(id: &str, model: &str, version: u64) -> Seen {
-    Seen {
+pub fn seen(id: &str, model: &str, version: u64) -> ListedUpstream {
+    ListedUpstream {
         address: address(id),
         domain: "a".to_owned(),
         id: id.to_owned(),
@@ -60,11 +60,11 @@
 }
 
 /// Returns the load of an engine that has so many tokens to read for one request.
-pub fn unread(tokens: u64) -> Load {
-    Load {
+pub fn unread(tokens: u64) -> UpstreamLoad {
+    UpstreamLoad {
         long_tokens: 0,
-        quiet_ms: None,
+        last_byte_age_ms: None,
         running: 1,
-        unread_tokens: tokens,
+        pending_prefill_tokens: tokens,
     }
 }
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -16,9 +16,9 @@
 use coordination::choice::Refusal;
 use coordination::demand::Demand;
 use coordination::dispatch::Dispatch;
-use coordination::tally::Load;
 use coordination::upstream::Fleet;
 use coordination::upstream::Standing;
+use coordination::upstream_load::UpstreamLoad;
 use state::time::Instant;
 
 const STORE: &str = "store";
@@ -123,8 +123,11 @@
     // What is ahead and the prompt itself take 0.8 s; the engine takes twice that and answers
     // other hosts meanwhile.
     for at in (100..=2_600).step_by(100) {
-        let quiet_ms = Some(60);
-        let heard = Load { quiet_ms, ..busy };
+        let last_byte_age_ms = Some(60);
+        let heard = UpstreamLoad {
+            last_byte_age_ms,
+            ..busy
+        };
         told.heard_of(
             Instant(at),
             BTreeMap::from([(id(&choice).to_owned(), heard)]),
@@ -522,11 +525,11 @@
         memory_tokens: Some(100_000),
         ..long("p")
     };
-    let held = |tokens| Load {
+    let held = |tokens| UpstreamLoad {
         long_tokens: tokens,
-        quiet_ms: None,
+        last_byte_age_ms: None,
         running: 4,
-        unread_tokens: 0,
+        pending_prefill_tokens: 0,
     };
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
     let others = BTreeMap::from([(first.upstream.id.clone(), held(68_000))]);
--- a/crates/coordination/tests/reload.rs
+++ b/crates/coordination/tests/reload.rs
@@ -11,7 +11,7 @@
 use coordination::reload::Policy;
 use coordination::reload::Reload;
 use coordination::reload::Report;
-use coordination::tally::Load;
+use coordination::upstream_load::UpstreamLoad;
 use state::time::Instant;
 
 const MODEL: &str = "m";
@@ -23,7 +23,7 @@
     engines: BTreeMap<String, Engine>,
     log: Vec<(u64, Effect)>,
     reload: Reload,
-    running: BTreeMap<String, Load>,
+    running: BTreeMap<String, UpstreamLoad>,
 }
 
 #[derive(Default)]
@@ -65,11 +65,11 @@
     }
 
     fn running(mut self, id: &str) -> Self {
-        let load = Load {
+        let load = UpstreamLoad {
             long_tokens: 0,
-            quiet_ms: None,
+            last_byte_age_ms: None,
             running: 1,
-            unread_tokens: 0,
+            pending_prefill_tokens: 0,
         };
         self.running.insert(id.to_owned(), load);
         self
--- a/crates/coordination/tests/routed.rs
+++ b/crates/coordination/tests/routed.rs
@@ -6,17 +6,17 @@
 use coordination::silence::LIMIT_MS;
 use coordination::silence::PATH_LIMIT_MS;
 use coordination::silence::Silence;
-use coordination::tally::Load;
-use coordination::tally::Loads;
-use coordination::tally::Tally;
+use coordination::upstream_load::LoadAggregator;
+use coordination::upstream_load::UpstreamLoad;
+use coordination::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
-fn loads(entries: &[(&str, u32)]) -> Loads {
-    let load = |running: u32| Load {
+fn loads(entries: &[(&str, u32)]) -> UpstreamLoads {
+    let load = |running: u32| UpstreamLoad {
         long_tokens: 0,
-        quiet_ms: None,
+        last_byte_age_ms: None,
         running,
-        unread_tokens: u64::from(running) * 10,
+        pending_prefill_tokens: u64::from(running) * 10,
     };
     let entries = entries.iter();
     entries
@@ -66,10 +66,10 @@
 
 #[test]
 fn a_host_learns_what_the_others_have_under_way_and_not_its_own() {
-    let mut tally = Tally::default();
+    let mut tally = LoadAggregator::default();
     assert_eq!(
         tally.report(Instant(0), "h1", loads(&[("u", 2)])),
-        Loads::new()
+        UpstreamLoads::new()
     );
     assert_eq!(
         tally.report(Instant(1), "h2", loads(&[("u", 3), ("v", 1)])),
@@ -85,24 +85,24 @@
 #[test]
 fn a_host_learns_when_any_host_last_heard_an_upstream() {
     let heard = |ms| {
-        let load = Load {
-            quiet_ms: Some(ms),
+        let load = UpstreamLoad {
+            last_byte_age_ms: Some(ms),
             running: 1,
-            ..Load::default()
+            ..UpstreamLoad::default()
         };
-        Loads::from([("u".to_owned(), load)])
+        UpstreamLoads::from([("u".to_owned(), load)])
     };
-    let mut tally = Tally::default();
+    let mut tally = LoadAggregator::default();
     tally.report(Instant(1_000), "h1", heard(400));
     tally.report(Instant(1_010), "h2", heard(30));
     tally.report(Instant(1_020), "h1", heard(420));
-    let told = tally.report(Instant(1_050), "h3", Loads::new());
-    assert_eq!(told["u"].quiet_ms, Some(70));
+    let told = tally.report(Instant(1_050), "h3", UpstreamLoads::new());
+    assert_eq!(told["u"].last_byte_age_ms, Some(70));
 }
 
 #[test]
 fn the_report_of_a_host_that_is_gone_no_longer_counts() {
-    let mut tally = Tally::default();
+    let mut tally = LoadAggregator::default();
     tally.report(Instant(0), "h1", loads(&[("u", 2)]));
     let others = tally.report(Instant(1_001), "h2", loads(&[("u", 1)]));
     assert_eq!(others, BTreeMap::new());
--- a/crates/hibiscushoistd/src/daemon.rs
+++ b/crates/hibiscushoistd/src/daemon.rs
@@ -52,7 +52,7 @@
 use coordination::drain::Drain;
 use coordination::drain::Effect;
 use coordination::drain::Outcome;
-use coordination::tally::Tally;
+use coordination::upstream_load::LoadAggregator;
 use transport::clock::Clock;
 use transport::event;
 use transport::event::Event;
@@ -173,7 +173,7 @@
         }
         voter.follow(member.view());
         voter_start::keep_up(&settings, &voter, member.view(), &log);
-        let tally: Arc<Mutex<Tally>> = Arc::default();
+        let tally: Arc<Mutex<LoadAggregator>> = Arc::default();
         let (publish, fleet) = watch::channel(Arc::default());
         let list = settings.gateway.as_ref().and_then(|gateway| gateway.list);
         if let Some(list) = list.filter(|_| settings.plays(Role::Voter)) {
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -35,8 +35,8 @@
 use coordination::outlook;
 use coordination::outlook::Outlook;
 use coordination::quarantine;
-use coordination::tally::Tally;
 use coordination::upstream::Fleet;
+use coordination::upstream_load::LoadAggregator;
 use protocol::operator::History;
 use protocol::operator::Voters;
 use protocol::peer::Peer;
@@ -71,7 +71,7 @@
     /// Reaches the duty that knows the fleet.
     pub member: member::Handle,
     /// Adds up what hosts have under way at upstreams.
-    pub tally: Arc<Mutex<Tally>>,
+    pub tally: Arc<Mutex<LoadAggregator>>,
     /// Answers for the requests that may crash upstreams.
     pub suspects: Suspects,
     /// Reaches the voters.
--- a/crates/hibiscushoistd/src/steward.rs
+++ b/crates/hibiscushoistd/src/steward.rs
@@ -24,12 +24,12 @@
 use coordination::reload::Policy;
 use coordination::reload::Reload;
 use coordination::reload::Report;
-use coordination::tally::Tally;
 use coordination::upstream::Edition;
 use coordination::upstream::Fleet;
-use coordination::upstream::Seen;
+use coordination::upstream::ListedUpstream;
 use coordination::upstream::Standing;
 use coordination::upstream::Upstream;
+use coordination::upstream_load::LoadAggregator;
 use platform::engine;
 use platform::header;
 use platform::listing;
@@ -69,8 +69,8 @@
     number: u64,
     publish: watch::Sender<Arc<Fleet>>,
     reload: Reload,
-    seen: Vec<Seen>,
-    tally: Arc<Mutex<Tally>>,
+    seen: Vec<ListedUpstream>,
+    tally: Arc<Mutex<LoadAggregator>>,
     term: Option<u64>,
 }
 
@@ -79,7 +79,7 @@
     context: Arc<Context>,
     list: SocketAddr,
     publish: watch::Sender<Arc<Fleet>>,
-    tally: Arc<Mutex<Tally>>,
+    tally: Arc<Mutex<LoadAggregator>>,
 ) {
     let (events, mut arrived) = mpsc::channel(RING_EVENTS);
     let mut steward = Steward {
@@ -158,7 +158,7 @@
         named.collect()
     }
 
-    fn tally(&self) -> MutexGuard<'_, Tally> {
+    fn tally(&self) -> MutexGuard<'_, LoadAggregator> {
         self.tally.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -295,7 +295,7 @@
         }));
     }
 
-    fn shown(&self, seen: &Seen) -> Upstream {
+    fn shown(&self, seen: &ListedUpstream) -> Upstream {
         let standing = match (seen.leaving, self.reload.is_loading(&seen.id)) {
             (true, _) => Standing::Leaving,
             (false, true) => Standing::Loading,
