--- a/crates/coordination/examples/measure/cache.rs
+++ b/crates/coordination/examples/measure/cache.rs
@@ -4,15 +4,15 @@
 use std::collections::HashMap;
 
 use state::directory::Change;
-use state::ident::Block;
+use state::ident::BlockHash;
 
 /// Holds blocks and the changes that were not published yet.
 pub struct Cache {
     bound: usize,
     changes: Vec<Change>,
     clock: u64,
-    order: BTreeSet<(u64, Block)>,
-    used: HashMap<Block, u64>,
+    order: BTreeSet<(u64, BlockHash)>,
+    used: HashMap<BlockHash, u64>,
 }
 
 impl Cache {
@@ -28,12 +28,12 @@
     }
 
     /// Returns all blocks held.
-    pub fn blocks(&self) -> Vec<Block> {
+    pub fn blocks(&self) -> Vec<BlockHash> {
         self.order.iter().map(|(_, block)| *block).collect()
     }
 
     /// Returns how many leading blocks are held.
-    pub fn depth(&self, blocks: &[Block]) -> u32 {
+    pub fn depth(&self, blocks: &[BlockHash]) -> u32 {
         let held = blocks.iter().take_while(|b| self.used.contains_key(b));
         held.count() as u32
     }
@@ -49,7 +49,7 @@
     }
 
     /// Adds blocks, or marks them as used; a parent counts as used after its children.
-    pub fn touch(&mut self, blocks: &[Block]) {
+    pub fn touch(&mut self, blocks: &[BlockHash]) {
         for block in blocks.iter().rev() {
             self.clock += 1;
             match self.used.insert(*block, self.clock) {
--- a/crates/coordination/examples/measure/engine.rs
+++ b/crates/coordination/examples/measure/engine.rs
@@ -6,7 +6,7 @@
 use crate::cache::Cache;
 use crate::work::BLOCK_TOKENS;
 use coordination::report::Sample;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Lists the blocks of the prompt.
-    pub blocks: Rc<[Block]>,
+    pub blocks: Rc<[BlockHash]>,
     /// Gives how many leading blocks to import.
     pub import: u32,
     /// Gives the tokens of the answer.
--- a/crates/coordination/examples/measure/router.rs
+++ b/crates/coordination/examples/measure/router.rs
@@ -17,7 +17,7 @@
 use state::column::Column;
 use state::edit::Action;
 use state::edit::Edit;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::row;
 use state::sheet::Sheet;
 use state::table::Table;
@@ -121,7 +121,7 @@
     format!("e{index:02}")
 }
 
-fn mixed(block: Block, engine: usize) -> u128 {
+fn mixed(block: BlockHash, engine: usize) -> u128 {
     block.child(&engine.to_le_bytes()).0
 }
 
--- a/crates/coordination/examples/measure/run.rs
+++ b/crates/coordination/examples/measure/run.rs
@@ -31,7 +31,7 @@
 use state::directory::Batch;
 use state::directory::Change;
 use state::directory::Snapshot;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
 
@@ -70,7 +70,7 @@
     Crash(usize),
     Deadline(usize),
     Done(usize, Ticket, Progress),
-    Export(Rc<[Block]>),
+    Export(Rc<[BlockHash]>),
     Publish,
     Push(usize, usize, u32, Rank),
     Recover(usize),
--- a/crates/coordination/examples/measure/size.rs
+++ b/crates/coordination/examples/measure/size.rs
@@ -16,7 +16,7 @@
 use state::directory::Change;
 use state::directory::Directory;
 use state::directory::Slot;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
 use state::time;
@@ -78,7 +78,7 @@
         let upstream = router::engine(index);
         router.step(0, Event::Load { sample, upstream });
     }
-    let root = Block::root("w0", "m", "v1");
+    let root = BlockHash::root("w0", "m", "v1");
     let start = Instant::now();
     for serial in 0..ASKS {
         let now = serial as u64 * 1_000;
@@ -119,8 +119,8 @@
 }
 
 /// Returns a block whose bits are spread like those of a hash.
-fn block(number: u64) -> Block {
+fn block(number: u64) -> BlockHash {
     const ODD: u128 = 0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835;
     let mixed = u128::from(number + 1).wrapping_mul(ODD);
-    Block((mixed ^ (mixed >> 61)).wrapping_mul(ODD))
+    BlockHash((mixed ^ (mixed >> 61)).wrapping_mul(ODD))
 }
--- a/crates/coordination/examples/measure/work.rs
+++ b/crates/coordination/examples/measure/work.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::rank::Rank;
 
 /// Gives the tokens of one cached block.
@@ -69,7 +69,7 @@
     /// Gives the time at which its caller sends it.
     pub at: u64,
     /// Lists the whole blocks of the prompt.
-    pub blocks: Rc<[Block]>,
+    pub blocks: Rc<[BlockHash]>,
     /// Names the caller.
     pub caller: usize,
     /// Gives the tokens of the answer.
@@ -129,13 +129,13 @@
 }
 
 /// Returns the shared part of every prompt.
-pub fn prompts(deployment: &Deployment) -> Vec<Vec<Block>> {
-    let mut prompts: Vec<Vec<Block>> = Vec::new();
+pub fn prompts(deployment: &Deployment) -> Vec<Vec<BlockHash>> {
+    let mut prompts: Vec<Vec<BlockHash>> = Vec::new();
     for workspace in 0..WORKSPACES {
-        let root = Block::root(&self::workspace(workspace), "m", "v1");
+        let root = BlockHash::root(&self::workspace(workspace), "m", "v1");
         let mut level = vec![(root, Vec::new())];
         for (number, count) in deployment.levels.into_iter().enumerate() {
-            let parts = |(block, blocks): &(Block, Vec<Block>)| {
+            let parts = |(block, blocks): &(BlockHash, Vec<BlockHash>)| {
                 let extend = |part| extend(*block, blocks.clone(), number, part, count);
                 (0..deployment.fan[number]).map(extend).collect::<Vec<_>>()
             };
@@ -230,8 +230,8 @@
     }
 
     /// Returns the shared part of a prompt; which parts are hot shifts with time.
-    fn prompt(&mut self, at: u64, rank: Rank, workspace: usize) -> Vec<Block> {
-        let mut block = Block::root(&self::workspace(workspace), "m", "v1");
+    fn prompt(&mut self, at: u64, rank: Rank, workspace: usize) -> Vec<BlockHash> {
+        let mut block = BlockHash::root(&self::workspace(workspace), "m", "v1");
         let mut blocks = Vec::new();
         let shift = (at / SHIFT_US) as usize;
         let viral = rank == Rank::Urgent && self.rng.random::<f64>() < VIRAL_SHARE;
@@ -260,12 +260,12 @@
 
 /// Adds the blocks of one level of a prompt.
 fn extend(
-    parent: Block,
-    mut blocks: Vec<Block>,
+    parent: BlockHash,
+    mut blocks: Vec<BlockHash>,
     level: usize,
     part: usize,
     count: usize,
-) -> (Block, Vec<Block>) {
+) -> (BlockHash, Vec<BlockHash>) {
     let mut block = parent;
     for number in 0..count {
         block = block.child(&[level as u8, part as u8, number as u8]);
--- a/crates/coordination/src/ask.rs
+++ b/crates/coordination/src/ask.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::rank::Rank;
 
 /// Identifies one placement of a request; an entry draws a new one at random for each attempt.
@@ -18,7 +18,7 @@
     /// Gives the tokens of one block.
     pub block_tokens: u32,
     /// Lists the whole blocks of the prompt, from its start.
-    pub blocks: Vec<Block>,
+    pub blocks: Vec<BlockHash>,
     /// Names the caller within its workspace.
     pub caller: String,
     /// Gives the time left until the first token is of no more use, in milliseconds.
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -22,7 +22,7 @@
 use state::directory::Directory;
 use state::directory::Residency;
 use state::directory::Slot;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
 use state::row::Row;
@@ -405,7 +405,7 @@
             return *slot;
         }
         let slot = Slot(u16::try_from(self.upstreams.len()).unwrap_or(u16::MAX));
-        let seed = Block::root(name, "", "").0 as u64;
+        let seed = BlockHash::root(name, "", "").0 as u64;
         self.upstreams.push(Upstream {
             name: name.to_owned(),
             seed,
@@ -491,12 +491,12 @@
 }
 
 fn stored(ask: &Ask, version: &str, slot: Slot, directory: &Directory, now: Instant) -> u32 {
-    let named: Vec<Block> = ask.blocks.iter().map(|b| b.under(version)).collect();
+    let named: Vec<BlockHash> = ask.blocks.iter().map(|b| b.under(version)).collect();
     directory.resident(&named, now).held(slot)
 }
 
 /// Orders even upstreams by rendezvous hashing of the prompt's first block.
-fn tie(root: Block, seed: u64) -> u64 {
+fn tie(root: BlockHash, seed: u64) -> u64 {
     const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let mixed = (root.0 as u64 ^ seed).wrapping_mul(MULTIPLIER);
     (mixed ^ (mixed >> 32)).wrapping_mul(MULTIPLIER)
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -11,7 +11,7 @@
 use crate::view::Member;
 use crate::view::View;
 use state::column::Column;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::row::Row;
 use state::sheet::Sheet;
 use state::table::Table;
@@ -36,7 +36,7 @@
 }
 
 /// Returns the shard that places requests whose prompt starts with `root`.
-pub fn of_prompt(root: Block, shards: u16) -> Shard {
+pub fn of_prompt(root: BlockHash, shards: u16) -> Shard {
     best(&root.0.to_le_bytes(), shards)
 }
 
--- a/crates/coordination/tests/directory.rs
+++ b/crates/coordination/tests/directory.rs
@@ -6,7 +6,7 @@
 use state::directory::Outcome;
 use state::directory::Slot;
 use state::directory::Snapshot;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::index::Index;
 use state::index::Lane;
@@ -17,8 +17,8 @@
 const A: Slot = Slot(0);
 const B: Slot = Slot(1);
 
-fn chain(workspace: &str, blocks: usize) -> Vec<Block> {
-    Block::root(workspace, "m", "v1").chain(&vec![7; blocks * 4], 4)
+fn chain(workspace: &str, blocks: usize) -> Vec<BlockHash> {
+    BlockHash::root(workspace, "m", "v1").chain(&vec![7; blocks * 4], 4)
 }
 
 fn batch(incarnation: u64, version: &str, sequence: u64, changes: Vec<Change>) -> Batch {
@@ -30,15 +30,15 @@
     }
 }
 
-fn stored(blocks: &[Block]) -> Vec<Change> {
+fn stored(blocks: &[BlockHash]) -> Vec<Change> {
     blocks.iter().map(|block| Change::Stored(*block)).collect()
 }
 
-fn held(directory: &Directory, slot: Slot, blocks: &[Block], now: u64) -> u32 {
+fn held(directory: &Directory, slot: Slot, blocks: &[BlockHash], now: u64) -> u32 {
     directory.resident(blocks, Instant(now)).soon(slot)
 }
 
-fn filled() -> (Directory, Vec<Block>) {
+fn filled() -> (Directory, Vec<BlockHash>) {
     let mut directory = Directory::default();
     let blocks = chain("maps", 4);
     directory.apply(A, batch(1, "v1", 0, stored(&blocks)), Instant(0));
@@ -94,7 +94,7 @@
 fn other_workspaces_and_versions_never_match() {
     let (directory, _) = filled();
     assert_eq!(held(&directory, A, &chain("shops", 4), 0), 0);
-    let newer = Block::root("maps", "m", "v2").chain(&[7; 16], 4);
+    let newer = BlockHash::root("maps", "m", "v2").chain(&[7; 16], 4);
     assert_eq!(held(&directory, A, &newer, 0), 0);
 }
 
@@ -201,7 +201,7 @@
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
         // Few distinct blocks in one segment make long runs, where removal is most delicate.
-        let block = Block(blocks[(state >> 33) as usize % 2_000].0 & (u128::MAX >> 12));
+        let block = BlockHash(blocks[(state >> 33) as usize % 2_000].0 & (u128::MAX >> 12));
         let lane = Lane(1 + (state >> 60) as u16);
         match (state >> 50) % 2 {
             0 => assert_eq!(index.insert(block, lane), plain.insert((block, lane))),
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -21,7 +21,7 @@
 use state::directory::Change;
 use state::edit::Action;
 use state::edit::Edit;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
 use state::row;
@@ -135,7 +135,13 @@
         })
     }
 
-    pub fn cached(&mut self, upstream: &str, incarnation: u64, sequence: u64, blocks: &[Block]) {
+    pub fn cached(
+        &mut self,
+        upstream: &str,
+        incarnation: u64,
+        sequence: u64,
+        blocks: &[BlockHash],
+    ) {
         self.step(Event::Cache {
             batch: Batch {
                 changes: blocks.iter().map(|block| Change::Stored(*block)).collect(),
@@ -168,8 +174,8 @@
     }
 }
 
-pub fn prompt(workspace: &str, blocks: usize) -> Vec<Block> {
-    Block::root(workspace, "m", "v1").chain(&vec![7; blocks], 1)
+pub fn prompt(workspace: &str, blocks: usize) -> Vec<BlockHash> {
+    BlockHash::root(workspace, "m", "v1").chain(&vec![7; blocks], 1)
 }
 
 pub fn ask(serial: u128, rank: Rank, workspace: &str, caller: &str, blocks: usize) -> Ask {
--- a/crates/fakes/src/cache.rs
+++ b/crates/fakes/src/cache.rs
@@ -9,12 +9,12 @@
 use protocol::engine::Change;
 use protocol::engine::Entry;
 use protocol::engine::Event;
-use state::ident::Block;
+use state::ident::BlockHash;
 
 /// Holds a bounded set of blocks and evicts the least recently used.
 #[derive(Debug)]
 pub struct Cache {
-    blocks: HashMap<Block, Held>,
+    blocks: HashMap<BlockHash, Held>,
     capacity: usize,
     clock: u64,
     lose_every: u64,
@@ -25,8 +25,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Held {
-    content: Block,
-    parent: Option<Block>,
+    content: BlockHash,
+    parent: Option<BlockHash>,
     used: u64,
 }
 
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Named {
     /// Holds the engine's own key.
-    pub content: Block,
+    pub content: BlockHash,
     /// Holds the caller's name.
-    pub name: Block,
+    pub name: BlockHash,
 }
 
 impl Cache {
@@ -66,7 +66,7 @@
     }
 
     /// Returns the content key of a block.
-    pub fn content(&self, name: Block) -> Option<Block> {
+    pub fn content(&self, name: BlockHash) -> Option<BlockHash> {
         self.blocks.get(&name).map(|held| held.content)
     }
 
@@ -115,7 +115,7 @@
     pub fn snapshot(&self) -> Vec<Entry> {
         let mut held: Vec<_> = self.blocks.iter().collect();
         held.sort_by_key(|(name, _)| (self.depth(**name), **name));
-        let entry = |(name, held): (&Block, &Held)| Entry {
+        let entry = |(name, held): (&BlockHash, &Held)| Entry {
             block: *name,
             parent: held.parent,
         };
@@ -140,7 +140,7 @@
         }
     }
 
-    fn append(&mut self, change: Change, block: Option<Block>, parent: Option<Block>) {
+    fn append(&mut self, change: Change, block: Option<BlockHash>, parent: Option<BlockHash>) {
         self.seq += 1;
         if self.lose_every > 0 && self.seq.is_multiple_of(self.lose_every) {
             return;
@@ -158,8 +158,8 @@
         }
     }
 
-    fn depth(&self, name: Block) -> usize {
-        let parent = |name: &Block| self.blocks.get(name).and_then(|held| held.parent);
+    fn depth(&self, name: BlockHash) -> usize {
+        let parent = |name: &BlockHash| self.blocks.get(name).and_then(|held| held.parent);
         std::iter::successors(parent(&name), parent).count()
     }
 
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -33,7 +33,7 @@
 use protocol::engine::Action;
 use protocol::engine::Code;
 use protocol::weights;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Digest;
 use state::ident::Incarnation;
 
@@ -499,9 +499,9 @@
     }
 
     /// Returns the engine's own keys of the content of `prompt`.
-    pub(crate) fn contents(&self, salt: &str, prompt: &str) -> Vec<Block> {
+    pub(crate) fn contents(&self, salt: &str, prompt: &str) -> Vec<BlockHash> {
         let inner = self.lock();
-        let root = Block::root(salt, &inner.standing.model, &inner.standing.version);
+        let root = BlockHash::root(salt, &inner.standing.model, &inner.standing.version);
         let size = usize::try_from(self.options.block_bytes).unwrap_or(usize::MAX);
         root.chain(prompt.as_bytes(), size)
     }
--- a/crates/fakes/src/kv.rs
+++ b/crates/fakes/src/kv.rs
@@ -22,9 +22,9 @@
 use protocol::block;
 use protocol::kv::BLOCKS;
 use protocol::kv::Stored;
-use state::ident::Block;
+use state::ident::BlockHash;
 
-type Blocks = Mutex<BTreeMap<Block, Stored>>;
+type Blocks = Mutex<BTreeMap<BlockHash, Stored>>;
 
 /// Runs a stand-in store until it is dropped.
 pub struct Store {
@@ -52,12 +52,12 @@
     }
 
     /// Drops a block, as a store does that runs out of room.
-    pub fn lose(&self, name: Block) {
+    pub fn lose(&self, name: BlockHash) {
         lock(&self.blocks).remove(&name);
     }
 
     /// Lists the names of the blocks.
-    pub fn names(&self) -> Vec<Block> {
+    pub fn names(&self) -> Vec<BlockHash> {
         lock(&self.blocks).keys().copied().collect()
     }
 
--- a/crates/fakes/tests/common/mod.rs
+++ b/crates/fakes/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use protocol::engine;
 use protocol::engine::Code;
 use protocol::engine::Finish;
-use state::ident::Block;
+use state::ident::BlockHash;
 use transport::engine::Client;
 use transport::engine::Item;
 use transport::upstream::Error;
@@ -37,7 +37,8 @@
 }
 
 pub fn request(workspace: &str, prompt: &str) -> engine::Request {
-    let blocks = Block::root(workspace, "m", "v1").chain(prompt.as_bytes(), BLOCK_BYTES as usize);
+    let blocks =
+        BlockHash::root(workspace, "m", "v1").chain(prompt.as_bytes(), BLOCK_BYTES as usize);
     engine::Request {
         cache: engine::Cache {
             block_bytes: BLOCK_BYTES,
--- a/crates/hibiscushoistd/examples/role_slopes.rs
+++ b/crates/hibiscushoistd/examples/role_slopes.rs
@@ -25,7 +25,7 @@
 use state::directory::Change;
 use state::edit::Action;
 use state::edit::Edit;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::ledger;
 use state::ledger::Decision;
@@ -227,9 +227,9 @@
     }
 }
 
-fn block(upstream: u64, number: u64) -> Block {
+fn block(upstream: u64, number: u64) -> BlockHash {
     let name = (upstream << 40 | number).to_le_bytes();
-    Block::default().child(&name)
+    BlockHash::default().child(&name)
 }
 
 fn edit(sheet: Sheet, row: String, if_revision: u64, action: Action) -> Edit {
--- a/crates/hibiscushoistd/src/job.rs
+++ b/crates/hibiscushoistd/src/job.rs
@@ -11,7 +11,7 @@
 use protocol::header;
 use protocol::refusal::Reason;
 use state::column::Column;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Digest;
 use state::rank::Rank;
 use state::row::Row;
@@ -25,7 +25,7 @@
 const LONGEST_DEADLINE_MS: u64 = 86_400_000;
 const MOST_TOKENS: u64 = 1 << 20;
 
-/// Stands for a block's name without a weights version; see [`Block::under`].
+/// Stands for a block's name without a weights version; see [`BlockHash::under`].
 const NO_VERSION: &str = "";
 
 /// Names the shape of the answer that a caller wants.
@@ -99,7 +99,7 @@
         let deadline_ms = deadline(request, row)?;
         let block_bytes = model.number(Column::BlockBytes);
         let block_bytes = block_bytes.unwrap_or(DEFAULT_BLOCK_BYTES) as usize;
-        let root = Block::root(setting.workspace, &asked.model, NO_VERSION);
+        let root = BlockHash::root(setting.workspace, &asked.model, NO_VERSION);
         let ask = Ask {
             block_tokens: (block_bytes / BYTES_PER_TOKEN) as u32,
             blocks: root.chain(prompt.as_bytes(), block_bytes),
--- a/crates/hibiscushoistd/tests/imports.rs
+++ b/crates/hibiscushoistd/tests/imports.rs
@@ -15,7 +15,7 @@
 use state::column::Column;
 use state::edit::Action;
 use state::edit::Edit;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::rank::Rank;
 use state::row;
 use state::sheet::Sheet;
@@ -64,7 +64,7 @@
         add(&mut table, "s", "engine", source.address());
         add(&mut table, "k", "kv_store", store.address());
         let ask = Ask {
-            blocks: Block::root("w", "m", "").chain(PROMPT.as_bytes(), 16),
+            blocks: BlockHash::root("w", "m", "").chain(PROMPT.as_bytes(), 16),
             workspace: "w".to_owned(),
             ..Ask::default()
         };
--- a/crates/protocol/src/block.rs
+++ b/crates/protocol/src/block.rs
@@ -5,19 +5,19 @@
 use serde::Serializer;
 use serde::de::Error;
 
-use state::ident::Block;
+use state::ident::BlockHash;
 
 const DIGITS: usize = 32;
 
 /// Returns `block` as text.
-pub fn format(block: Block) -> String {
+pub fn format(block: BlockHash) -> String {
     format!("{:032x}", block.0)
 }
 
 /// Returns the block that `text` names.
-pub fn parse(text: &str) -> Option<Block> {
+pub fn parse(text: &str) -> Option<BlockHash> {
     let plain = text.len() == DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
-    plain.then(|| u128::from_str_radix(text, 16).ok().map(Block))?
+    plain.then(|| u128::from_str_radix(text, 16).ok().map(BlockHash))?
 }
 
 /// Writes a block in a field marked `#[serde(with = "block")]`.
@@ -25,7 +25,7 @@
 /// # Errors
 ///
 /// Passes on the serialiser's error.
-pub fn serialize<S: Serializer>(block: &Block, serializer: S) -> Result<S::Ok, S::Error> {
+pub fn serialize<S: Serializer>(block: &BlockHash, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(&format(*block))
 }
 
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// Returns an error for a text of another form.
-pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Block, D::Error> {
+pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<BlockHash, D::Error> {
     let text = String::deserialize(deserializer)?;
     parse(&text).ok_or_else(|| D::Error::custom("a block is 32 hexadecimal digits"))
 }
@@ -47,7 +47,7 @@
     use serde::Serializer;
     use serde::de::Error;
 
-    use state::ident::Block;
+    use state::ident::BlockHash;
 
     /// Writes a block or null.
     ///
@@ -55,7 +55,7 @@
     ///
     /// Passes on the serialiser's error.
     pub fn serialize<S: Serializer>(
-        block: &Option<Block>,
+        block: &Option<BlockHash>,
         serializer: S,
     ) -> Result<S::Ok, S::Error> {
         block.map(super::format).serialize(serializer)
@@ -68,7 +68,7 @@
     /// Returns an error for a text of another form.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
-    ) -> Result<Option<Block>, D::Error> {
+    ) -> Result<Option<BlockHash>, D::Error> {
         match Option::<String>::deserialize(deserializer)? {
             None => Ok(None),
             Some(text) => match super::parse(&text) {
@@ -86,14 +86,17 @@
     use serde::Serializer;
     use serde::de::Error;
 
-    use state::ident::Block;
+    use state::ident::BlockHash;
 
     /// Writes a list of blocks.
     ///
     /// # Errors
     ///
     /// Passes on the serialiser's error.
-    pub fn serialize<S: Serializer>(blocks: &[Block], serializer: S) -> Result<S::Ok, S::Error> {
+    pub fn serialize<S: Serializer>(
+        blocks: &[BlockHash],
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
         serializer.collect_seq(blocks.iter().map(|b| super::format(*b)))
     }
 
@@ -102,10 +105,12 @@
     /// # Errors
     ///
     /// Returns an error for a text of another form.
-    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Block>, D::Error> {
+    pub fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Vec<BlockHash>, D::Error> {
         let texts = Vec::<String>::deserialize(deserializer)?;
         let blocks = texts.iter().map(|text| super::parse(text));
-        let blocks: Option<Vec<Block>> = blocks.collect();
+        let blocks: Option<Vec<BlockHash>> = blocks.collect();
         blocks.ok_or_else(|| D::Error::custom("a block is 32 hexadecimal digits"))
     }
 }
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -13,7 +13,7 @@
 use coordination::stream;
 
 pub use coordination::stream::Finish;
-use state::ident::Block;
+use state::ident::BlockHash;
 use state::ident::Incarnation;
 
 /// Names the path that completes a prompt.
@@ -70,7 +70,7 @@
     pub block_bytes: u64,
     /// Names the prompt's blocks in order; events and snapshots repeat these names.
     #[serde(with = "block::list")]
-    pub blocks: Vec<Block>,
+    pub blocks: Vec<BlockHash>,
     /// Separates the caches of workspaces.
     pub salt: String,
 }
@@ -159,7 +159,7 @@
         skip_serializing_if = "Option::is_none",
         with = "block::option"
     )]
-    pub block: Option<Block>,
+    pub block: Option<BlockHash>,
     /// Tells what happened.
     pub change: Change,
     /// Names the block before this one.
@@ -168,7 +168,7 @@
         skip_serializing_if = "Option::is_none",
         with = "block::option"
     )]
-    pub parent: Option<Block>,
+    pub parent: Option<BlockHash>,
     /// Numbers the changes of one incarnation from 1, without holes unless some were lost.
     pub seq: u64,
 }
@@ -204,14 +204,14 @@
 pub struct Entry {
     /// Names the block.
     #[serde(with = "block")]
-    pub block: Block,
+    pub block: BlockHash,
     /// Names the block before this one.
     #[serde(
         default,
         skip_serializing_if = "Option::is_none",
         with = "block::option"
     )]
-    pub parent: Option<Block>,
+    pub parent: Option<BlockHash>,
 }
 
 /// Reports the load of an engine as it was a while ago.
@@ -305,7 +305,7 @@
 pub struct Transfer {
     /// Names the blocks, parents before children.
     #[serde(with = "block::list")]
-    pub blocks: Vec<Block>,
+    pub blocks: Vec<BlockHash>,
     /// Separates the caches of workspaces.
     pub salt: String,
     /// Gives the IP address and port of the store.
@@ -317,7 +317,7 @@
 pub struct Transferred {
     /// Names the blocks that were moved.
     #[serde(with = "block::list")]
-    pub blocks: Vec<Block>,
+    pub blocks: Vec<BlockHash>,
 }
 
 /// Tells why an engine refused a request; a refused request had no effect.
--- a/crates/protocol/src/kv.rs
+++ b/crates/protocol/src/kv.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::block;
-use state::ident::Block;
+use state::ident::BlockHash;
 
 /// Starts the path of each block; its name follows.
 pub const BLOCKS: &str = "/v1/blocks/";
@@ -14,7 +14,7 @@
 pub struct Stored {
     /// Holds the engine's own key of all that the content depends on.
     #[serde(with = "block")]
-    pub content: Block,
+    pub content: BlockHash,
     /// Names the weights version that computed it.
     pub version: String,
 }
--- a/crates/protocol/tests/decoders.rs
+++ b/crates/protocol/tests/decoders.rs
@@ -21,7 +21,7 @@
 use protocol::operator;
 use protocol::refusal;
 use state::edit::Edit;
-use state::ident::Block;
+use state::ident::BlockHash;
 
 const FIELDS: [&str; 14] = [
     "blocks",
@@ -126,7 +126,7 @@
 
     #[test]
     fn a_block_is_written_and_read_the_same(number in any::<u128>()) {
-        let block = Block(number);
+        let block = BlockHash(number);
         prop_assert_eq!(block::parse(&block::format(block)), Some(block));
     }
 
--- a/crates/state/src/directory.rs
+++ b/crates/state/src/directory.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::ident::Block;
+use crate::ident::BlockHash;
 use crate::ident::Incarnation;
 use crate::index::Index;
 use crate::index::LANES;
@@ -28,9 +28,9 @@
     /// Reports that the whole cache was emptied.
     Cleared,
     /// Reports a block that left the cache.
-    Removed(Block),
+    Removed(BlockHash),
     /// Reports a block that entered the cache.
-    Stored(Block),
+    Stored(BlockHash),
 }
 
 /// Carries changes in the order in which they happened.
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Snapshot {
     /// Lists the blocks.
-    pub blocks: Vec<Block>,
+    pub blocks: Vec<BlockHash>,
     /// Identifies the run of the upstream.
     pub incarnation: Incarnation,
     /// Numbers the first change that the snapshot does not include.
@@ -104,8 +104,8 @@
 /// Holds the blocks that each upstream holds.
 #[derive(Clone, Debug)]
 pub struct Directory {
-    expected: HashMap<Block, Vec<(Slot, Instant)>>,
-    expiries: VecDeque<(Instant, Block, Slot)>,
+    expected: HashMap<BlockHash, Vec<(Slot, Instant)>>,
+    expiries: VecDeque<(Instant, BlockHash, Slot)>,
     feeds: Vec<Option<Feed>>,
     index: Index,
     lanes: Vec<Use>,
@@ -168,7 +168,7 @@
 
     /// Counts on `blocks` entering the cache of the upstream soon, because a request that computes
     /// them was sent there.
-    pub fn expect(&mut self, slot: Slot, blocks: &[Block], now: Instant) {
+    pub fn expect(&mut self, slot: Slot, blocks: &[BlockHash], now: Instant) {
         self.admit(slot);
         let expires = now + EXPECTED_LIFETIME_MS;
         for block in blocks {
@@ -229,7 +229,7 @@
     }
 
     /// Finds how many leading blocks of `blocks` each upstream holds.
-    pub fn resident(&self, blocks: &[Block], now: Instant) -> Residency {
+    pub fn resident(&self, blocks: &[BlockHash], now: Instant) -> Residency {
         let mut residency = Residency {
             held: vec![0; self.feeds.len()],
             soon: vec![0; self.feeds.len()],
@@ -278,7 +278,7 @@
     }
 
     /// No longer counts on `blocks` entering the cache of the upstream.
-    pub fn unexpect(&mut self, slot: Slot, blocks: &[Block]) {
+    pub fn unexpect(&mut self, slot: Slot, blocks: &[BlockHash]) {
         for block in blocks {
             if let Some(slots) = self.expected.get_mut(block) {
                 slots.retain(|(held, _)| *held != slot);
--- a/crates/state/src/ident.rs
+++ b/crates/state/src/ident.rs
@@ -18,9 +18,9 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Block(pub u128);
+pub struct BlockHash(pub u128);
 
-impl Block {
+impl BlockHash {
     const CONTEXT: &'static str = "hibiscushoist 2026-12 cached block";
     const VERSION_CONTEXT: &'static str = "hibiscushoist 2026-12 weights version";
 
--- a/crates/state/src/index.rs
+++ b/crates/state/src/index.rs
@@ -4,7 +4,7 @@
 //! stand in many small open-addressed segments that grow one at a time, so no insertion ever
 //! pauses for the whole index.
 
-use crate::ident::Block;
+use crate::ident::BlockHash;
 
 /// Bounds the lanes of an index; lane 0 is never used.
 pub const LANES: usize = 1 << LANE_BITS;
@@ -51,7 +51,7 @@
     }
 
     /// Adds an entry and returns whether it is new.
-    pub fn insert(&mut self, block: Block, lane: Lane) -> bool {
+    pub fn insert(&mut self, block: BlockHash, lane: Lane) -> bool {
         let (segment, fingerprint) = split(block);
         let added = self.segments[segment].insert(word(fingerprint, lane));
         self.len += usize::from(added);
@@ -64,7 +64,7 @@
     }
 
     /// Calls `visit` with each lane that holds `block`.
-    pub fn lanes(&self, block: Block, mut visit: impl FnMut(Lane)) {
+    pub fn lanes(&self, block: BlockHash, mut visit: impl FnMut(Lane)) {
         let (segment, fingerprint) = split(block);
         let segment = &self.segments[segment];
         if segment.slots.is_empty() {
@@ -86,7 +86,7 @@
     }
 
     /// Removes an entry and returns whether it was there.
-    pub fn remove(&mut self, block: Block, lane: Lane) -> bool {
+    pub fn remove(&mut self, block: BlockHash, lane: Lane) -> bool {
         let (segment, fingerprint) = split(block);
         let removed = self.segments[segment].remove(word(fingerprint, lane));
         self.len -= usize::from(removed);
@@ -205,7 +205,7 @@
     Lane((entry & LANE_MASK) as u16)
 }
 
-fn split(block: Block) -> (usize, u64) {
+fn split(block: BlockHash) -> (usize, u64) {
     let segment = (block.0 >> (128 - SEGMENT_BITS)) as usize;
     let fingerprint = (block.0 as u64) >> (u64::BITS - FINGERPRINT_BITS);
     (segment, fingerprint)
--- a/crates/state/tests/ident.rs
+++ b/crates/state/tests/ident.rs
@@ -1,17 +1,17 @@
 //! Checks that blocks of other workspaces, models, parents and versions never share a name.
 
-use state::ident::Block;
+use state::ident::BlockHash;
 
 const PROMPT: &[u8] = b"dossier-coast-spot";
 
 #[test]
 fn chain_holds_whole_blocks_only() {
-    assert_eq!(Block::root("maps", "m", "").chain(PROMPT, 8).len(), 2);
+    assert_eq!(BlockHash::root("maps", "m", "").chain(PROMPT, 8).len(), 2);
 }
 
 #[test]
 fn equal_prefixes_share_their_blocks() {
-    let root = Block::root("maps", "m", "");
+    let root = BlockHash::root("maps", "m", "");
     let long = root.chain(b"dossier-coast-spot", 6);
     let short = root.chain(b"dossier-coast-cove", 6);
     assert_eq!(long[..2], short[..2]);
@@ -20,16 +20,16 @@
 
 #[test]
 fn other_workspaces_models_and_parents_differ() {
-    let block = Block::root("maps", "m", "").child(PROMPT);
-    assert_ne!(block, Block::root("stores", "m", "").child(PROMPT));
-    assert_ne!(block, Block::root("maps", "n", "").child(PROMPT));
-    assert_ne!(block, Block::root("map", "sm", "").child(PROMPT));
+    let block = BlockHash::root("maps", "m", "").child(PROMPT);
+    assert_ne!(block, BlockHash::root("stores", "m", "").child(PROMPT));
+    assert_ne!(block, BlockHash::root("maps", "n", "").child(PROMPT));
+    assert_ne!(block, BlockHash::root("map", "sm", "").child(PROMPT));
     assert_ne!(block, block.child(PROMPT));
 }
 
 #[test]
 fn versions_name_a_block_apart_and_back() {
-    let block = Block::root("maps", "m", "").child(PROMPT);
+    let block = BlockHash::root("maps", "m", "").child(PROMPT);
     assert_ne!(block.under("v1"), block.under("v2"));
     assert_ne!(block.under("v1"), block);
     assert_eq!(block.under("v1").under("v1"), block);
