--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -286,8 +286,8 @@
     }
 
     pub(crate) fn defer_election(&mut self) {
-        let spread = self.rng.random_range(0..=self.settings.election_spread);
-        self.election_due = self.now + self.settings.election + spread;
+        let spread = self.rng.random_range(0..=self.settings.election_jitter_ms);
+        self.election_due = self.now + self.settings.election_timeout_ms + spread;
     }
 
     /// Sends a message that promises nothing about the disk.
--- a/crates/coordination/src/raft_election.rs
+++ b/crates/coordination/src/raft_election.rs
@@ -135,7 +135,7 @@
         match &self.state {
             State::Leader(leader) => leader.lease(&self.settings) > self.now,
             State::Candidate(_) | State::Follower(_) | State::PreCandidate(_) => {
-                self.now.since(self.heard) < self.settings.election
+                self.now.since(self.heard) < self.settings.election_timeout_ms
             }
         }
     }
--- a/crates/coordination/src/raft_follower.rs
+++ b/crates/coordination/src/raft_follower.rs
@@ -42,7 +42,7 @@
         }
         let current = term == self.hard_state.term;
         match body {
-            Body::Append { round, .. } | Body::Piece { round, .. } if !current => {
+            Body::Append { round, .. } | Body::InstallSnapshot { round, .. } if !current => {
                 let hint = 0;
                 self.send_synced(from, self.hard_state.term, Body::Rejected { hint, round });
             }
@@ -55,7 +55,7 @@
                 self.hear(from);
                 self.append(from, round, previous, entries, commit);
             }
-            Body::Piece {
+            Body::InstallSnapshot {
                 data,
                 meta,
                 offset,
@@ -66,7 +66,7 @@
                 self.take_piece(from, round, meta, offset, &data, total);
             }
             Body::Accepted { matched, round } if current => self.on_accepted(from, round, matched),
-            Body::Received {
+            Body::ReceivedChunk {
                 index,
                 offset,
                 round,
@@ -76,7 +76,7 @@
             Body::Accepted { .. }
             | Body::PreVote { .. }
             | Body::PreVoteReply { .. }
-            | Body::Received { .. }
+            | Body::ReceivedChunk { .. }
             | Body::Rejected { .. }
             | Body::Vote { .. } => {}
         }
@@ -191,7 +191,7 @@
         let offset = incoming.data.len() as u64;
         if offset < total {
             let index = position.index;
-            let received = Body::Received {
+            let received = Body::ReceivedChunk {
                 index,
                 offset,
                 round,
--- a/crates/coordination/src/raft_leader.rs
+++ b/crates/coordination/src/raft_leader.rs
@@ -42,7 +42,7 @@
 
     /// Starts a round of heartbeats, or stops leading when a majority is silent.
     pub(crate) fn beat(&mut self) {
-        let limit = self.settings.election + self.settings.election_spread;
+        let limit = self.settings.election_timeout_ms + self.settings.election_jitter_ms;
         let State::Leader(leader) = &mut self.state else {
             return;
         };
@@ -91,28 +91,28 @@
     }
 
     pub(crate) fn on_accepted(&mut self, from: MemberId, round: u64, matched: u64) {
-        self.with_member(from, round, |progress| progress.accept(matched));
+        self.with_member(from, round, |progress| progress.record_accepted(matched));
     }
 
     pub(crate) fn on_received(&mut self, from: MemberId, round: u64, index: u64, offset: u64) {
-        let mut grew = false;
+        let mut advanced = false;
         self.with_member(from, round, |progress| {
-            grew = progress.receive(index, offset)
+            advanced = progress.record_received(index, offset)
         });
-        if grew {
+        if advanced {
             self.send_piece(from);
         }
     }
 
     pub(crate) fn on_rejected(&mut self, from: MemberId, round: u64, hint: u64) {
-        self.with_member(from, round, |progress| progress.reject(hint));
+        self.with_member(from, round, |progress| progress.record_rejected(hint));
     }
 
     /// Appends commands as one batch.
     pub(crate) fn propose(&mut self, commands: Vec<(Token, Arc<[u8]>)>) {
         let waiting = self.log.last().index - self.commit;
         let refusal = match &self.state {
-            State::Leader(_) if waiting < self.settings.backlog => None,
+            State::Leader(_) if waiting < self.settings.max_uncommitted_entries => None,
             State::Leader(_) => Some(Refusal::Backlog),
             _ => Some(Refusal::NotLeader(self.leader())),
         };
@@ -153,7 +153,10 @@
             return;
         };
         let own = self.identity;
-        let confirmed = self.log.config().majority_value(|id| leader.acked(id, own));
+        let confirmed = self
+            .log
+            .config()
+            .majority_value(|id| leader.acked_round(id, own));
         let commit = self.commit;
         let ready = |read: &Waiting| read.round <= confirmed && read.index <= commit;
         while let Some(read) = leader.reads.pop_front_if(|read| ready(read)) {
@@ -170,7 +173,8 @@
         }
         if let Change::Promote(id) = change {
             let progress = leader.members.get(id);
-            let recent = |p: &Progress| p.acked + 2 >= leader.round && p.matched >= self.commit;
+            let recent =
+                |p: &Progress| p.acked_round + 2 >= leader.round && p.matched >= self.commit;
             if !progress.is_some_and(recent) {
                 return Err(quorum::Error::Behind(*id).into());
             }
@@ -206,7 +210,10 @@
             return;
         };
         let own = self.identity;
-        let confirmed = self.log.config().majority_value(|id| leader.acked(id, own));
+        let confirmed = self
+            .log
+            .config()
+            .majority_value(|id| leader.acked_round(id, own));
         while leader
             .started
             .front()
@@ -245,12 +252,14 @@
         let progress = leader.members.get_mut(&peer)?;
         let last = self.log.last().index;
         match progress.mode {
-            Mode::Probe { waiting: true } | Mode::Snapshot { .. } => return None,
-            Mode::Replicate if progress.next > last => return None,
-            Mode::Replicate if progress.under_way.len() >= self.settings.window => return None,
+            Mode::Probe { in_flight: true } | Mode::Snapshot { .. } => return None,
+            Mode::Replicate if progress.next_index > last => return None,
+            Mode::Replicate if progress.in_flight.len() >= self.settings.max_in_flight => {
+                return None;
+            }
             Mode::Probe { .. } | Mode::Replicate => {}
         }
-        let index = progress.next - 1;
+        let index = progress.next_index - 1;
         let Some(term) = self.log.term(index) else {
             let index = self.log.snapshot().meta.position.index;
             let offset = 0;
@@ -258,12 +267,14 @@
             self.send_piece(peer);
             return None;
         };
-        let entries = self.log.batch(progress.next, self.settings.batch_bytes);
+        let entries = self
+            .log
+            .batch(progress.next_index, self.settings.max_batch_bytes);
         match &mut progress.mode {
-            Mode::Probe { waiting } => *waiting = true,
+            Mode::Probe { in_flight } => *in_flight = true,
             Mode::Replicate | Mode::Snapshot { .. } => {
-                progress.next += entries.len() as u64;
-                progress.under_way.push_back(progress.next - 1);
+                progress.next_index += entries.len() as u64;
+                progress.in_flight.push_back(progress.next_index - 1);
             }
         }
         Some(Body::Append {
@@ -281,10 +292,10 @@
         let Some(progress) = leader.members.get_mut(&peer) else {
             return;
         };
-        let stuck = !std::mem::take(&mut progress.moved);
+        let stuck = !std::mem::take(&mut progress.advanced);
         match &mut progress.mode {
-            Mode::Probe { waiting } => *waiting = false,
-            Mode::Replicate if stuck && !progress.under_way.is_empty() => {
+            Mode::Probe { in_flight } => *in_flight = false,
+            Mode::Replicate if stuck && !progress.in_flight.is_empty() => {
                 progress.probe(progress.matched + 1);
             }
             Mode::Replicate => {}
@@ -324,8 +335,8 @@
         }
         let total = snapshot.data.len();
         let start = (*offset as usize).min(total);
-        let end = (start + self.settings.piece_bytes).min(total);
-        let body = Body::Piece {
+        let end = (start + self.settings.max_chunk_bytes).min(total);
+        let body = Body::InstallSnapshot {
             data: snapshot.data[start..end].to_vec(),
             meta: snapshot.meta.clone(),
             offset: start as u64,
@@ -340,7 +351,7 @@
             return;
         };
         leader.round += 1;
-        leader.heartbeat_due = self.now + self.settings.heartbeat;
+        leader.heartbeat_due = self.now + self.settings.heartbeat_interval_ms;
         leader.started.push_back((leader.round, self.now));
         let peers: Vec<MemberId> = leader.members.keys().copied().collect();
         for peer in peers {
@@ -355,7 +366,7 @@
         let Some(progress) = leader.members.get_mut(&from) else {
             return;
         };
-        progress.acked = progress.acked.max(round);
+        progress.acked_round = progress.acked_round.max(round);
         change(progress);
         self.renew();
         self.advance();
--- a/crates/coordination/src/raft_leadership.rs
+++ b/crates/coordination/src/raft_leadership.rs
@@ -55,15 +55,15 @@
 
     /// Returns until when no other member can lead.
     pub(crate) fn lease(&self, settings: &Settings) -> Instant {
-        let span = lease::shortened(settings.election);
+        let span = lease::shortened(settings.election_timeout_ms);
         self.leased.map_or(Instant(0), |start| start + span)
     }
 
     /// Follows the members of `config`; new ones are sent entries from `next` on.
-    pub(crate) fn track(&mut self, config: &Config, own: MemberId, next: u64) {
+    pub(crate) fn track(&mut self, config: &Config, own: MemberId, next_index: u64) {
         self.members.retain(|id, _| config.members.contains_key(id));
         for id in config.members.keys().filter(|id| **id != own) {
-            let new = || Progress::new(next);
+            let new = || Progress::new(next_index);
             self.members.entry(*id).or_insert_with(new);
         }
     }
@@ -88,10 +88,10 @@
     }
 
     /// Returns the last round of heartbeats that a member has answered.
-    pub(crate) fn acked(&self, id: MemberId, own: MemberId) -> u64 {
+    pub(crate) fn acked_round(&self, id: MemberId, own: MemberId) -> u64 {
         if id == own {
             return self.round;
         }
-        self.members.get(&id).map_or(0, |p| p.acked)
+        self.members.get(&id).map_or(0, |p| p.acked_round)
     }
 }
--- a/crates/coordination/src/raft_message.rs
+++ b/crates/coordination/src/raft_message.rs
@@ -31,7 +31,7 @@
             Body::Append { entries, .. } => {
                 OVERHEAD + entries.iter().map(Entry::size).sum::<usize>()
             }
-            Body::Piece { data, .. } => OVERHEAD + data.len(),
+            Body::InstallSnapshot { data, .. } => OVERHEAD + data.len(),
             _ => OVERHEAD,
         }
     }
@@ -59,7 +59,7 @@
         round: u64,
     },
     /// Brings a piece of a snapshot.
-    Piece {
+    InstallSnapshot {
         /// Holds the piece.
         data: Vec<u8>,
         /// Describes the snapshot.
@@ -82,7 +82,7 @@
         granted: bool,
     },
     /// Tells how much of a snapshot has arrived.
-    Received {
+    ReceivedChunk {
         /// Gives the index of the snapshot.
         index: u64,
         /// Gives where the next piece starts, in bytes.
--- a/crates/coordination/src/raft_progress.rs
+++ b/crates/coordination/src/raft_progress.rs
@@ -8,7 +8,7 @@
     /// Sends one batch and waits, because the member's log is not known yet.
     Probe {
         /// Tells whether a batch is under way.
-        waiting: bool,
+        in_flight: bool,
     },
     /// Sends batches without waiting, up to the window.
     Replicate,
@@ -25,73 +25,73 @@
 #[derive(Clone, Debug)]
 pub struct Progress {
     /// Gives the newest round that the member answered.
-    pub acked: u64,
+    pub acked_round: u64,
     /// Gives the last index that is on the member's disk.
     pub matched: u64,
     /// Tells how to send.
     pub mode: Mode,
     /// Tells whether the member confirmed anything new since the last heartbeat.
-    pub moved: bool,
+    pub advanced: bool,
     /// Gives the index to send next.
-    pub next: u64,
+    pub next_index: u64,
     /// Holds the last index of each batch under way.
-    pub under_way: VecDeque<u64>,
+    pub in_flight: VecDeque<u64>,
 }
 
 impl Progress {
     /// Returns the progress of a member of which nothing is known.
-    pub fn new(next: u64) -> Self {
+    pub fn new(next_index: u64) -> Self {
         Self {
-            acked: 0,
+            acked_round: 0,
             matched: 0,
-            mode: Mode::Probe { waiting: false },
-            moved: false,
-            next,
-            under_way: VecDeque::new(),
+            mode: Mode::Probe { in_flight: false },
+            advanced: false,
+            next_index,
+            in_flight: VecDeque::new(),
         }
     }
 
     /// Takes in a confirmation up to `matched`.
-    pub fn accept(&mut self, matched: u64) {
-        let grew = matched > self.matched;
-        self.moved |= grew;
+    pub fn record_accepted(&mut self, matched: u64) {
+        let advanced = matched > self.matched;
+        self.advanced |= advanced;
         self.matched = self.matched.max(matched);
-        self.next = self.next.max(self.matched + 1);
-        while self.under_way.front().is_some_and(|last| *last <= matched) {
-            self.under_way.pop_front();
+        self.next_index = self.next_index.max(self.matched + 1);
+        while self.in_flight.front().is_some_and(|last| *last <= matched) {
+            self.in_flight.pop_front();
         }
         match self.mode {
             Mode::Probe { .. } => self.mode = Mode::Replicate,
             Mode::Replicate => {}
-            Mode::Snapshot { index, .. } if grew || matched >= index => self.probe(matched + 1),
+            Mode::Snapshot { index, .. } if advanced || matched >= index => self.probe(matched + 1),
             Mode::Snapshot { .. } => {}
         }
     }
 
     /// Goes back to one batch at a time from `next` on.
-    pub fn probe(&mut self, next: u64) {
-        self.next = next.max(self.matched + 1);
-        self.under_way.clear();
-        self.mode = Mode::Probe { waiting: false };
+    pub fn probe(&mut self, next_index: u64) {
+        self.next_index = next_index.max(self.matched + 1);
+        self.in_flight.clear();
+        self.mode = Mode::Probe { in_flight: false };
     }
 
     /// Takes in how much of a snapshot has arrived, and returns whether it was news.
-    pub fn receive(&mut self, snapshot: u64, arrived: u64) -> bool {
+    pub fn record_received(&mut self, snapshot: u64, arrived: u64) -> bool {
         match &mut self.mode {
             Mode::Snapshot { index, offset } if *index == snapshot => {
-                let grew = arrived > *offset;
-                self.moved |= grew;
+                let advanced = arrived > *offset;
+                self.advanced |= advanced;
                 *offset = arrived;
-                grew
+                advanced
             }
             Mode::Probe { .. } | Mode::Replicate | Mode::Snapshot { .. } => false,
         }
     }
 
     /// Takes in a refusal of the batch after an entry that the member lacks.
-    pub fn reject(&mut self, hint: u64) {
+    pub fn record_rejected(&mut self, hint: u64) {
         if hint >= self.matched && !matches!(self.mode, Mode::Snapshot { .. }) {
-            self.probe(self.next.min(hint + 1));
+            self.probe(self.next_index.min(hint + 1));
         }
     }
 }
--- a/crates/coordination/src/raft_settings.rs
+++ b/crates/coordination/src/raft_settings.rs
@@ -3,25 +3,25 @@
 /// Holds the timing and the bounds of the replicated log.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub(crate) backlog: u64,
-    pub(crate) batch_bytes: usize,
-    pub(crate) election: u64,
-    pub(crate) election_spread: u64,
-    pub(crate) heartbeat: u64,
-    pub(crate) piece_bytes: usize,
-    pub(crate) window: usize,
+    pub(crate) max_uncommitted_entries: u64,
+    pub(crate) max_batch_bytes: usize,
+    pub(crate) election_timeout_ms: u64,
+    pub(crate) election_jitter_ms: u64,
+    pub(crate) heartbeat_interval_ms: u64,
+    pub(crate) max_chunk_bytes: usize,
+    pub(crate) max_in_flight: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            backlog: 16_384,
-            batch_bytes: 256 * 1024,
-            election: 700,
-            election_spread: 500,
-            heartbeat: 150,
-            piece_bytes: 256 * 1024,
-            window: 16,
+            max_uncommitted_entries: 16_384,
+            max_batch_bytes: 256 * 1024,
+            election_timeout_ms: 700,
+            election_jitter_ms: 500,
+            heartbeat_interval_ms: 150,
+            max_chunk_bytes: 256 * 1024,
+            max_in_flight: 16,
         }
     }
 }
@@ -29,15 +29,18 @@
 impl Settings {
     /// Sets how many entries may wait for commitment before proposals are refused.
     #[must_use]
-    pub fn backlog(self, backlog: u64) -> Self {
-        Self { backlog, ..self }
+    pub fn max_uncommitted_entries(self, max_uncommitted_entries: u64) -> Self {
+        Self {
+            max_uncommitted_entries,
+            ..self
+        }
     }
 
     /// Sets the most bytes of entries in one message.
     #[must_use]
-    pub fn batch_bytes(self, batch_bytes: usize) -> Self {
+    pub fn max_batch_bytes(self, max_batch_bytes: usize) -> Self {
         Self {
-            batch_bytes,
+            max_batch_bytes,
             ..self
         }
     }
@@ -45,32 +48,38 @@
     /// Sets the shortest election timeout and how much longer a random one may be, in
     /// milliseconds.
     #[must_use]
-    pub fn election(self, election: u64, election_spread: u64) -> Self {
+    pub fn election_timeout_ms(self, election_timeout_ms: u64, election_jitter_ms: u64) -> Self {
         Self {
-            election,
-            election_spread,
+            election_timeout_ms,
+            election_jitter_ms,
             ..self
         }
     }
 
     /// Sets the time between heartbeats, in milliseconds.
     #[must_use]
-    pub fn heartbeat(self, heartbeat: u64) -> Self {
-        Self { heartbeat, ..self }
+    pub fn heartbeat_interval_ms(self, heartbeat_interval_ms: u64) -> Self {
+        Self {
+            heartbeat_interval_ms,
+            ..self
+        }
     }
 
     /// Sets the most bytes of one piece of a snapshot.
     #[must_use]
-    pub fn piece_bytes(self, piece_bytes: usize) -> Self {
+    pub fn max_chunk_bytes(self, max_chunk_bytes: usize) -> Self {
         Self {
-            piece_bytes,
+            max_chunk_bytes,
             ..self
         }
     }
 
     /// Sets how many batches may be under way to one member.
     #[must_use]
-    pub fn window(self, window: usize) -> Self {
-        Self { window, ..self }
+    pub fn max_in_flight(self, max_in_flight: usize) -> Self {
+        Self {
+            max_in_flight,
+            ..self
+        }
     }
 }
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -196,12 +196,12 @@
         let now = self.clock(host);
         let host = &mut self.hosts[host];
         let settings = Settings::default()
-            .backlog(64)
-            .batch_bytes(300)
-            .election(200, 200)
-            .heartbeat(40)
-            .piece_bytes(200)
-            .window(3);
+            .max_uncommitted_entries(64)
+            .max_batch_bytes(300)
+            .election_timeout_ms(200, 200)
+            .heartbeat_interval_ms(40)
+            .max_chunk_bytes(200)
+            .max_in_flight(3);
         let recovered = host.disk.synced.clone();
         host.applied = recovered.snapshot.meta.position.index;
         host.compacted = host.applied;
