--- a/crates/coordination/examples/measure/router.rs
+++ b/crates/coordination/examples/measure/router.rs
@@ -9,11 +9,11 @@
 use crate::work;
 use crate::work::Deployment;
 use crate::work::Request;
-use coordination::ask::Ask;
-use coordination::ask::Ticket;
 use coordination::broker::Broker;
 use coordination::broker::Effect;
 use coordination::broker::Event;
+use coordination::placement_request::PlacementId;
+use coordination::placement_request::PlacementRequest;
 use state::column::Column;
 use state::edit::Action;
 use state::edit::Edit;
@@ -96,9 +96,14 @@
 }
 
 /// Returns the ask for a request.
-pub fn ask(request: &Request, ticket: Ticket, deadline_ms: u64, excluded: Vec<String>) -> Ask {
+pub fn ask(
+    request: &Request,
+    placement_id: PlacementId,
+    deadline_ms: u64,
+    excluded: Vec<String>,
+) -> PlacementRequest {
     let whole = request.blocks.len() as u32 * work::BLOCK_TOKENS;
-    Ask {
+    PlacementRequest {
         block_tokens: work::BLOCK_TOKENS,
         blocks: request.blocks.to_vec(),
         caller: format!("c{}", request.caller),
@@ -110,7 +115,7 @@
         output_tokens: request.output,
         prompt_tokens: whole + request.tail,
         rank: request.rank,
-        ticket,
+        placement_id,
         version: None,
         workspace: work::workspace(request.workspace),
     }
--- a/crates/coordination/examples/measure/run.rs
+++ b/crates/coordination/examples/measure/run.rs
@@ -21,11 +21,11 @@
 use crate::work::Deployment;
 use crate::work::Request;
 use crate::work::Scene;
-use coordination::ask::Ticket;
 use coordination::broker::Effect;
 use coordination::broker::Event;
 use coordination::broker::Grant;
 use coordination::capacity::Standing;
+use coordination::placement_request::PlacementId;
 use coordination::report::Progress;
 use coordination::report::Report;
 use state::directory::Batch;
@@ -69,7 +69,7 @@
     Cache(usize, Batch),
     Crash(usize),
     Deadline(usize),
-    Done(usize, Ticket, Progress),
+    Done(usize, PlacementId, Progress),
     Export(Rc<[BlockHash]>),
     Publish,
     Push(usize, usize, u32, Rank),
@@ -115,7 +115,7 @@
     heap: BinaryHeap<Reverse<Entry>>,
     now: u64,
     outcomes: HashMap<usize, Vec<(Outcome, Origin)>>,
-    placed: HashMap<usize, (usize, Ticket)>,
+    placed: HashMap<usize, (usize, PlacementId)>,
     policy: Policy,
     refused: HashMap<usize, Vec<String>>,
     rng: ChaCha8Rng,
@@ -124,7 +124,7 @@
     serial: u64,
     store: Cache,
     store_sequence: u64,
-    tickets: HashMap<Ticket, usize>,
+    tickets: HashMap<PlacementId, usize>,
 }
 
 impl Run {
@@ -200,8 +200,11 @@
             }
             What::Crash(engine) => self.crash(engine),
             What::Deadline(at) => self.give_up(at),
-            What::Done(_, ticket, progress) => {
-                self.tell(Event::Report(Report { progress, ticket }));
+            What::Done(_, placement_id, progress) => {
+                self.tell(Event::Report(Report {
+                    progress,
+                    placement_id,
+                }));
             }
             What::Export(blocks) => self.store.touch(&blocks),
             What::Publish => self.publish(),
@@ -258,18 +261,18 @@
     fn send(&mut self, at: usize) {
         let request = self.requests[at].clone();
         self.serial += 1;
-        let ticket = Ticket(u128::from(self.serial));
+        let placement_id = PlacementId(u128::from(self.serial));
         if self.policy == Policy::Broker {
-            self.tickets.insert(ticket, at);
+            self.tickets.insert(placement_id, at);
             let due = request.at + CLIENT_US + DEADLINE_US[request.rank.index()];
             let left = due.saturating_sub(self.now) / 1_000;
             let excluded = self.refused.get(&at).cloned().unwrap_or_default();
-            let ask = router::ask(&request, ticket, left, excluded);
-            self.tell(Event::Ask(ask));
+            let ask = router::ask(&request, placement_id, left, excluded);
+            self.tell(Event::Arrival(ask));
             return;
         }
         if let Some(engine) = self.router.choose(&request) {
-            self.placed.insert(at, (engine, ticket));
+            self.placed.insert(at, (engine, placement_id));
             self.router.inflight[engine] += 1;
             let import = self.store.depth(&request.blocks);
             self.after(HOP_US, What::Push(at, engine, import, request.rank));
@@ -279,15 +282,15 @@
     fn tell(&mut self, event: Event) {
         for effect in self.router.step(self.now, event) {
             match effect {
-                Effect::Export { ticket, .. } => {
-                    if let Some(at) = self.tickets.get(&ticket) {
+                Effect::Export { placement_id, .. } => {
+                    if let Some(at) = self.tickets.get(&placement_id) {
                         let blocks = Rc::clone(&self.requests[*at].blocks);
                         self.after(EXPORT_US, What::Export(blocks));
                     }
                 }
                 Effect::Grant(grant) => self.granted(&grant),
                 Effect::Refuse(refusal) => {
-                    self.tickets.remove(&refusal.ticket);
+                    self.tickets.remove(&refusal.placement_id);
                 }
                 Effect::Resync { upstream } => self.resync(&upstream),
             }
@@ -295,7 +298,7 @@
     }
 
     fn granted(&mut self, grant: &Grant) {
-        let at = self.tickets[&grant.ticket];
+        let at = self.tickets[&grant.placement_id];
         let index = |name: &str| name[1..].parse::<usize>().ok();
         let engine = index(&grant.upstream).expect("engines have numbers");
         let blocks = &self.requests[at].blocks;
@@ -306,7 +309,7 @@
             };
             held.min(import.blocks)
         });
-        self.placed.insert(at, (engine, grant.ticket));
+        self.placed.insert(at, (engine, grant.placement_id));
         self.after(HOP_US * 2, What::Push(at, engine, import, grant.priority));
     }
 
@@ -346,7 +349,7 @@
         self.engines[engine].stepping = false;
         for (outcome, origin) in self.outcomes.remove(&engine).unwrap_or_default() {
             let (Outcome::Finished(at) | Outcome::First(at)) = outcome;
-            let Some((_, ticket)) = self.placed.get(&at).copied() else {
+            let Some((_, placement_id)) = self.placed.get(&at).copied() else {
                 continue;
             };
             match outcome {
@@ -357,7 +360,7 @@
                 Outcome::First(at) => {
                     self.records[at].first = Some(self.now + HOP_US + CLIENT_US);
                     self.records[at].origin = origin;
-                    self.after(HOP_US, What::Done(at, ticket, Progress::FirstToken));
+                    self.after(HOP_US, What::Done(at, placement_id, Progress::FirstToken));
                     if self.policy != Policy::Broker {
                         let blocks = Rc::clone(&self.requests[at].blocks);
                         self.after(EXPORT_US, What::Export(blocks));
@@ -369,9 +372,9 @@
     }
 
     fn end(&mut self, at: usize, progress: Progress) {
-        if let Some((engine, ticket)) = self.placed.remove(&at) {
+        if let Some((engine, placement_id)) = self.placed.remove(&at) {
             self.router.inflight[engine] -= 1.min(self.router.inflight[engine]);
-            self.after(HOP_US, What::Done(at, ticket, progress));
+            self.after(HOP_US, What::Done(at, placement_id, progress));
         }
     }
 
--- a/crates/coordination/examples/measure/size.rs
+++ b/crates/coordination/examples/measure/size.rs
@@ -7,9 +7,9 @@
 use crate::router::Policy;
 use crate::router::Router;
 use crate::work::Deployment;
-use coordination::ask::Ask;
-use coordination::ask::Ticket;
 use coordination::broker::Event;
+use coordination::placement_request::PlacementId;
+use coordination::placement_request::PlacementRequest;
 use coordination::report::Progress;
 use coordination::report::Report;
 use state::directory::Batch;
@@ -83,7 +83,7 @@
     for serial in 0..ASKS {
         let now = serial as u64 * 1_000;
         let prompt = root.child(&(serial % 500).to_le_bytes());
-        let ask = Ask {
+        let ask = PlacementRequest {
             block_tokens: 4_096,
             blocks: prompt.chain(&[7; DEPTH], 1),
             deadline_ms: 10_000,
@@ -91,14 +91,20 @@
             output_tokens: 30,
             prompt_tokens: 4_096 * DEPTH as u32 + 100,
             rank: Rank::Urgent,
-            ticket: Ticket(serial),
+            placement_id: PlacementId(serial),
             workspace: "w0".to_owned(),
-            ..Ask::default()
+            ..PlacementRequest::default()
         };
-        router.step(now, Event::Ask(ask));
-        let ticket = Ticket(serial);
+        router.step(now, Event::Arrival(ask));
+        let placement_id = PlacementId(serial);
         for progress in [Progress::FirstToken, Progress::Finished] {
-            router.step(now, Event::Report(Report { progress, ticket }));
+            router.step(
+                now,
+                Event::Report(Report {
+                    progress,
+                    placement_id,
+                }),
+            );
         }
     }
     let each = start.elapsed().as_nanos() as f64 / ASKS as f64 / 1_000.0;
--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -14,8 +14,8 @@
 use strum::IntoStaticStr;
 use thiserror::Error;
 
-use crate::ask::Ask;
-use crate::ask::Ticket;
+use crate::placement_request::PlacementId;
+use crate::placement_request::PlacementRequest;
 use state::column::Column;
 use state::queue::Place;
 use state::queue::Queue;
@@ -113,7 +113,7 @@
     /// Gives the time after which to try again, in milliseconds.
     pub retry_after_ms: u64,
     /// Identifies the placement.
-    pub ticket: Ticket,
+    pub placement_id: PlacementId,
 }
 
 /// Holds what the table says of a workspace.
@@ -209,7 +209,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Waiting {
     /// Holds the ask.
-    pub ask: Ask,
+    pub ask: PlacementRequest,
     /// Gives the time at which it arrived.
     pub since: Instant,
 }
@@ -263,11 +263,11 @@
     ///
     /// Refuses what is over a limit, what does not fit the queue, and what could not be served
     /// before its deadline.
-    pub fn admit(&mut self, ask: Ask, now: Instant) -> Result<(), Refusal> {
+    pub fn admit(&mut self, ask: PlacementRequest, now: Instant) -> Result<(), Refusal> {
         let refuse = |reason, retry_after_ms: u64| Refusal {
             reason,
             retry_after_ms: retry_after_ms.max(LEAST_RETRY_MS),
-            ticket: ask.ticket,
+            placement_id: ask.placement_id,
         };
         let place = place(&ask);
         let rules = self.rules.workspace(&ask.workspace);
@@ -298,10 +298,12 @@
     }
 
     /// Removes a waiting request whose caller left, and returns whether it was there.
-    pub fn cancel(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, placement_id: PlacementId) -> bool {
         let mut found = false;
         for rank in 0..self.queues.len() {
-            for waiting in self.queues[rank].remove(|waiting| waiting.ask.ticket == ticket) {
+            for waiting in
+                self.queues[rank].remove(|waiting| waiting.ask.placement_id == placement_id)
+            {
                 self.release(&waiting.ask);
                 found = true;
             }
@@ -310,7 +312,7 @@
     }
 
     /// Counts a request that was placed elsewhere or before a restart.
-    pub fn count(&mut self, ask: &Ask) {
+    pub fn count(&mut self, ask: &PlacementRequest) {
         let usage = self.usage.entry(ask.workspace.clone()).or_default();
         usage.inflight += 1;
         *usage.callers.entry(ask.caller.clone()).or_default() += 1;
@@ -327,7 +329,7 @@
                 refusals.push(Refusal {
                     reason: Reason::Deadline,
                     retry_after_ms: self.wait_ms(&waiting.ask, now).max(LEAST_RETRY_MS),
-                    ticket: waiting.ask.ticket,
+                    placement_id: waiting.ask.placement_id,
                 });
             }
             self.queues[rank].tidy();
@@ -367,7 +369,7 @@
     }
 
     /// Ends the use of limits by a request that is over.
-    pub fn release(&mut self, ask: &Ask) {
+    pub fn release(&mut self, ask: &PlacementRequest) {
         if let Some(kind) = self.kinds.get_mut(&ask.kind) {
             *kind = kind.saturating_sub(1);
         }
@@ -434,7 +436,7 @@
         }
     }
 
-    fn over_limit(&self, ask: &Ask, rules: Workspace) -> Option<Reason> {
+    fn over_limit(&self, ask: &PlacementRequest, rules: Workspace) -> Option<Reason> {
         let over = |used: u64, limit: Option<u64>| limit.is_some_and(|l| used >= self.part(l));
         let kind = self.rules.kinds.get(&ask.kind).and_then(|kind| kind.limit);
         let used = self.kinds.get(&ask.kind).copied().unwrap_or(0);
@@ -451,7 +453,7 @@
     }
 
     /// Charges the request to the workspace's rate, or returns the time until it fits.
-    fn over_rate(&mut self, ask: &Ask, rules: Workspace, now: Instant) -> Option<u64> {
+    fn over_rate(&mut self, ask: &PlacementRequest, rules: Workspace, now: Instant) -> Option<u64> {
         let rate = self.part(rules.rate?);
         let usage = self.usage.entry(ask.workspace.clone()).or_default();
         let most = (rate * RATE_BURST_MS / MILLIS_PER_SECOND).max(1);
@@ -503,7 +505,7 @@
     /// Returns how long a request would wait, from the pace at which its rank was served lately.
     ///
     /// The pace counts only once the queue has been busy for all the time it is taken over.
-    fn wait_ms(&self, ask: &Ask, now: Instant) -> u64 {
+    fn wait_ms(&self, ask: &PlacementRequest, now: Instant) -> u64 {
         let rank = ask.rank.index();
         let queue = &self.queues[rank];
         let paced = WINDOW_MS * WINDOWS as u64;
@@ -523,7 +525,7 @@
 }
 
 /// Returns the place of a request in its queue.
-pub fn place(ask: &Ask) -> Place {
+pub fn place(ask: &PlacementRequest) -> Place {
     Place {
         caller: ask.caller.clone(),
         workspace: ask.workspace.clone(),
--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -14,14 +14,14 @@
 use crate::admission::Reason;
 use crate::admission::Refusal;
 use crate::admission::Rules;
-pub use crate::ask::Ask;
-pub use crate::ask::Ticket;
 use crate::capacity::Bound;
 use crate::capacity::Class;
 use crate::capacity::Standing;
 use crate::capacity::Turn;
 use crate::capacity::Work;
 pub use crate::grant::Grant;
+pub use crate::placement_request::PlacementId;
+pub use crate::placement_request::PlacementRequest;
 use crate::pool::Pool;
 use crate::pool::Promised;
 use crate::pool::Proposal;
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Asks for a place.
-    Ask(Ask),
+    Arrival(PlacementRequest),
     /// Bounds the requests in flight on each upstream, for a broker that stands in for an owner.
     Bound(Bound),
     /// Brings changes of an upstream's cache.
@@ -59,7 +59,7 @@
         upstream: String,
     },
     /// Means that the caller of a request left before it was placed.
-    Cancel(Ticket),
+    Cancel(PlacementId),
     /// Reports a request again that an earlier owner placed.
     Held(Held),
     /// Brings a load report.
@@ -108,7 +108,7 @@
         /// Names the store.
         store: String,
         /// Identifies the placement whose prompt holds them.
-        ticket: Ticket,
+        placement_id: PlacementId,
     },
     /// Gives a request its place.
     Grant(Box<Grant>),
@@ -123,7 +123,7 @@
 
 #[derive(Clone, Debug)]
 struct Placed {
-    ask: Ask,
+    ask: PlacementRequest,
     grant: Option<Box<Grant>>,
     slot: Slot,
     work: Work,
@@ -136,10 +136,10 @@
     busy: u64,
     directory: Directory,
     expired: Instant,
-    held: HashMap<Ticket, Placed>,
+    held: HashMap<PlacementId, Placed>,
     pool: Pool,
     resyncs: BTreeMap<Slot, Instant>,
-    waiting: HashSet<Ticket>,
+    waiting: HashSet<PlacementId>,
 }
 
 impl Broker {
@@ -167,13 +167,13 @@
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Ask(ask) => self.ask(ask, now, &mut effects),
+            Event::Arrival(ask) => self.ask(ask, now, &mut effects),
             Event::Bound(bound) => self.pool.bound(bound),
             Event::Cache { batch, upstream } => {
                 self.cache(batch, &upstream, now, &mut effects);
                 return effects;
             }
-            Event::Cancel(ticket) => self.cancel(ticket, now),
+            Event::Cancel(placement_id) => self.cancel(placement_id, now),
             Event::Held(held) => self.hold_again(held, now),
             Event::Load { sample, upstream } => self.load(sample, &upstream, now, &mut effects),
             Event::Report(report) => self.report(report, now, &mut effects),
@@ -189,13 +189,13 @@
         effects
     }
 
-    fn ask(&mut self, ask: Ask, now: Instant, effects: &mut Vec<Effect>) {
-        if let Some(held) = self.held.get(&ask.ticket) {
+    fn ask(&mut self, ask: PlacementRequest, now: Instant, effects: &mut Vec<Effect>) {
+        if let Some(held) = self.held.get(&ask.placement_id) {
             effects.extend(held.grant.clone().map(Effect::Grant));
             return;
         }
-        let ticket = ask.ticket;
-        if self.waiting.contains(&ticket) {
+        let placement_id = ask.placement_id;
+        if self.waiting.contains(&placement_id) {
             return;
         }
         if !self.pool.serves(&ask) {
@@ -206,13 +206,13 @@
             effects.push(Effect::Refuse(Refusal {
                 reason,
                 retry_after_ms: RESYNC_MS,
-                ticket,
+                placement_id,
             }));
             return;
         }
         match self.admission.admit(ask, now) {
             Ok(()) => {
-                self.waiting.insert(ticket);
+                self.waiting.insert(placement_id);
             }
             Err(refusal) => effects.push(Effect::Refuse(refusal)),
         }
@@ -236,12 +236,12 @@
         }
     }
 
-    fn cancel(&mut self, ticket: Ticket, now: Instant) {
-        if self.waiting.remove(&ticket) {
-            self.admission.cancel(ticket);
+    fn cancel(&mut self, placement_id: PlacementId, now: Instant) {
+        if self.waiting.remove(&placement_id) {
+            self.admission.cancel(placement_id);
             return;
         }
-        self.finish(ticket, now);
+        self.finish(placement_id, now);
     }
 
     fn dispatch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
@@ -259,8 +259,8 @@
         }
     }
 
-    fn finish(&mut self, ticket: Ticket, now: Instant) {
-        if let Some(mut held) = self.held.remove(&ticket) {
+    fn finish(&mut self, placement_id: PlacementId, now: Instant) {
+        if let Some(mut held) = self.held.remove(&placement_id) {
             self.pool.end(held.slot, &mut held.work, now);
             self.admission.release(&held.ask);
         }
@@ -271,7 +271,7 @@
             return;
         };
         let Held { ask, started, .. } = held;
-        if self.held.contains_key(&ask.ticket) {
+        if self.held.contains_key(&ask.placement_id) {
             return;
         }
         let mut work = self.pool.begin(slot, 0, ask.rank, ask.rank, now);
@@ -285,7 +285,7 @@
             slot,
             work,
         };
-        self.held.insert(held.ask.ticket, held);
+        self.held.insert(held.ask.placement_id, held);
     }
 
     fn load(&mut self, sample: Sample, upstream: &str, now: Instant, effects: &mut Vec<Effect>) {
@@ -336,7 +336,7 @@
         let (Some(waiting), Some(proposal)) = (waiting, chosen) else {
             return false;
         };
-        self.waiting.remove(&waiting.ask.ticket);
+        self.waiting.remove(&waiting.ask.placement_id);
         self.hold(waiting, proposal, now, effects);
         true
     }
@@ -364,7 +364,7 @@
             priority: proposal.priority,
             resident_blocks: proposal.resident,
             scores: proposal.scores,
-            ticket: ask.ticket,
+            placement_id: ask.placement_id,
             upstream: self.pool.name(slot).to_owned(),
             version: self.pool.version(slot).map(str::to_owned),
             waited_ms: now.since(waiting.since),
@@ -376,27 +376,27 @@
             slot,
             work,
         };
-        self.held.insert(held.ask.ticket, held);
+        self.held.insert(held.ask.placement_id, held);
     }
 
     fn report(&mut self, report: Report, now: Instant, effects: &mut Vec<Effect>) {
         match report.progress {
             Progress::Failed => {
-                if let Some(held) = self.held.get(&report.ticket) {
+                if let Some(held) = self.held.get(&report.placement_id) {
                     self.directory.unexpect(held.slot, &held.ask.blocks);
                     self.pool.fail(held.slot, now);
                 }
-                self.finish(report.ticket, now);
+                self.finish(report.placement_id, now);
             }
-            Progress::Finished => self.finish(report.ticket, now),
+            Progress::Finished => self.finish(report.placement_id, now),
             Progress::FirstToken => {
-                if let Some(held) = self.held.get_mut(&report.ticket) {
+                if let Some(held) = self.held.get_mut(&report.placement_id) {
                     self.pool.start(held.slot, &mut held.work, now);
                     let store = self.pool.store(&held.ask, held.slot, &self.directory, now);
                     effects.extend(store.map(|store| Effect::Export {
                         source: self.pool.name(held.slot).to_owned(),
                         store,
-                        ticket: report.ticket,
+                        placement_id: report.placement_id,
                     }));
                 }
             }
@@ -462,18 +462,18 @@
         let busy = self.pool.urgent() + self.admission.len(Rank::Urgent) as u64;
         self.busy = busy.max(self.busy - self.busy.div_ceil(BUSY_DECAY));
         for refusal in self.admission.expire(now) {
-            self.waiting.remove(&refusal.ticket);
+            self.waiting.remove(&refusal.placement_id);
             effects.push(Effect::Refuse(refusal));
         }
         let lost = |held: &Placed| now.since(held.work.granted) >= HELD_LIFETIME_MS;
-        let tickets: Vec<Ticket> = self
+        let placement_ids: Vec<PlacementId> = self
             .held
             .iter()
             .filter(|(_, held)| lost(held))
-            .map(|(ticket, _)| *ticket)
+            .map(|(placement_id, _)| *placement_id)
             .collect();
-        for ticket in tickets {
-            self.finish(ticket, now);
+        for placement_id in placement_ids {
+            self.finish(placement_id, now);
         }
     }
 }
--- a/crates/coordination/src/grant.rs
+++ b/crates/coordination/src/grant.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::ask::Ticket;
+use crate::placement_request::PlacementId;
 use state::ident::Incarnation;
 use state::rank::Rank;
 
@@ -48,7 +48,7 @@
     /// Lists the best upstreams, cheapest first.
     pub scores: Vec<Score>,
     /// Identifies the placement.
-    pub ticket: Ticket,
+    pub placement_id: PlacementId,
     /// Names the upstream.
     pub upstream: String,
     /// Names the weights version that the upstream serves, where it is known.
--- a/crates/coordination/src/ask.rs
+++ b/crates/coordination/src/placement_request.rs
@@ -10,11 +10,11 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct Ticket(pub u128);
+pub struct PlacementId(pub u128);
 
 /// Asks for an upstream and a place on it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Gives the tokens of one block.
     pub block_tokens: u32,
     /// Lists the whole blocks of the prompt, from its start.
@@ -38,14 +38,14 @@
     /// Ranks the request.
     pub rank: Rank,
     /// Identifies the placement.
-    pub ticket: Ticket,
+    pub placement_id: PlacementId,
     /// Names the weights version that must serve the request, where an answer is resumed.
     pub version: Option<String>,
     /// Names the workspace.
     pub workspace: String,
 }
 
-impl Ask {
+impl PlacementRequest {
     /// Returns the tokens of the prompt after its last whole block.
     pub fn tail_tokens(&self) -> u32 {
         let whole = (self.blocks.len() as u32).saturating_mul(self.block_tokens);
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -4,7 +4,6 @@
 use std::collections::BTreeSet;
 
 use crate::admission;
-use crate::ask::Ask;
 use crate::capacity::Bound;
 use crate::capacity::Capacity;
 use crate::capacity::Class;
@@ -17,6 +16,7 @@
 use crate::placement::Candidate;
 use crate::placement::Demand;
 use crate::placement::Rating;
+use crate::placement_request::PlacementRequest;
 use crate::report::Sample;
 use state::column::Column;
 use state::directory::Directory;
@@ -116,7 +116,7 @@
 }
 
 impl Upstream {
-    fn fits(&self, ask: &Ask) -> bool {
+    fn fits(&self, ask: &PlacementRequest) -> bool {
         let version = ask.version.as_deref();
         self.role == Role::Engine
             && self.usable()
@@ -251,7 +251,7 @@
     /// Proposes the best place for a request.
     pub fn propose(
         &self,
-        ask: &Ask,
+        ask: &PlacementRequest,
         priority: Rank,
         trade: u64,
         directory: &Directory,
@@ -328,7 +328,7 @@
     }
 
     /// Returns whether any upstream could serve the request.
-    pub fn serves(&self, ask: &Ask) -> bool {
+    pub fn serves(&self, ask: &PlacementRequest) -> bool {
         self.upstreams.iter().any(|upstream| upstream.fits(ask))
     }
 
@@ -355,7 +355,7 @@
     /// at `source`, if one lacks them.
     pub fn store(
         &self,
-        ask: &Ask,
+        ask: &PlacementRequest,
         source: Slot,
         directory: &Directory,
         now: Instant,
@@ -429,7 +429,7 @@
     /// all versions and so lists them by their names under a version.
     fn deepest(
         &self,
-        ask: &Ask,
+        ask: &PlacementRequest,
         version: Option<&str>,
         directory: &Directory,
         residency: &Residency,
@@ -473,7 +473,7 @@
 
 fn candidate(
     upstream: &Upstream,
-    ask: &Ask,
+    ask: &PlacementRequest,
     priority: Rank,
     resident: u32,
     doubtful: bool,
@@ -490,7 +490,13 @@
     }
 }
 
-fn stored(ask: &Ask, version: &str, slot: Slot, directory: &Directory, now: Instant) -> u32 {
+fn stored(
+    ask: &PlacementRequest,
+    version: &str,
+    slot: Slot,
+    directory: &Directory,
+    now: Instant,
+) -> u32 {
     let named: Vec<BlockHash> = ask.blocks.iter().map(|b| b.under(version)).collect();
     directory.resident(&named, now).held(slot)
 }
--- a/crates/coordination/src/report.rs
+++ b/crates/coordination/src/report.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::ask::Ask;
-use crate::ask::Ticket;
+use crate::placement_request::PlacementId;
+use crate::placement_request::PlacementRequest;
 use state::ident::Incarnation;
 
 /// Tells how far a granted request has come.
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Held {
     /// Holds the ask.
-    pub ask: Ask,
+    pub ask: PlacementRequest,
     /// Tells whether its first token arrived.
     pub started: bool,
     /// Names the upstream.
@@ -35,7 +35,7 @@
     /// Tells how far the request has come.
     pub progress: Progress,
     /// Identifies the placement.
-    pub ticket: Ticket,
+    pub placement_id: PlacementId,
 }
 
 /// Describes the load of an upstream at one moment.
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use coordination::admission::Reason;
-use coordination::ask::Ask;
-use coordination::ask::Ticket;
 use coordination::broker::Effect;
 use coordination::broker::Event;
+use coordination::placement_request::PlacementId;
+use coordination::placement_request::PlacementRequest;
 use coordination::report::Progress;
 use state::column::Column;
 use state::rank::Rank;
@@ -24,8 +24,8 @@
 /// Counts what was granted, by a label of the ask.
 #[derive(Default)]
 struct Flood {
-    arrivals: Vec<(u64, Ask)>,
-    granted: Vec<(u64, Ask)>,
+    arrivals: Vec<(u64, PlacementRequest)>,
+    granted: Vec<(u64, PlacementRequest)>,
 }
 
 impl Flood {
@@ -44,7 +44,7 @@
     /// Runs the asks against one upstream that takes a fixed time for each.
     fn run(mut self, millis: u64) -> Self {
         let mut desk = Desk::new(&["a"]);
-        let mut ends: Vec<(u64, Ticket)> = Vec::new();
+        let mut ends: Vec<(u64, PlacementId)> = Vec::new();
         let mut arrivals = std::mem::take(&mut self.arrivals);
         arrivals.sort_by_key(|(at, _)| *at);
         let mut arrivals = arrivals.into_iter().peekable();
@@ -52,23 +52,23 @@
         while desk.now < 1_000 + millis {
             let mut effects = desk.tick(5);
             while let Some((_, ask)) = arrivals.next_if(|(at, _)| *at <= desk.now) {
-                asks.insert(ask.ticket, ask.clone());
+                asks.insert(ask.placement_id, ask.clone());
                 effects.extend(desk.ask(ask));
             }
             let now = desk.now;
-            for (_, ticket) in ends.extract_if(.., |(at, _)| *at <= now) {
-                effects.extend(desk.report(ticket, Progress::FirstToken));
-                effects.extend(desk.report(ticket, Progress::Finished));
+            for (_, placement_id) in ends.extract_if(.., |(at, _)| *at <= now) {
+                effects.extend(desk.report(placement_id, Progress::FirstToken));
+                effects.extend(desk.report(placement_id, Progress::Finished));
             }
             for grant in grants(&effects) {
-                ends.push((now + SERVICE_MS, grant.ticket));
-                self.granted.push((now, asks[&grant.ticket].clone()));
+                ends.push((now + SERVICE_MS, grant.placement_id));
+                self.granted.push((now, asks[&grant.placement_id].clone()));
             }
         }
         self
     }
 
-    fn count(&self, wanted: impl Fn(&Ask) -> bool) -> usize {
+    fn count(&self, wanted: impl Fn(&PlacementRequest) -> bool) -> usize {
         self.granted.iter().filter(|(_, ask)| wanted(ask)).count()
     }
 }
@@ -155,7 +155,7 @@
         let other = refusals(&effects);
         assert_eq!(other.is_empty(), reason != Reason::KindLimit, "{reason}");
         for serial in 0..2 {
-            desk.report(Ticket(serial), Progress::Finished);
+            desk.report(PlacementId(serial), Progress::Finished);
         }
         desk.tick(3_000);
         let effects = desk.ask(ask(4, Rank::Urgent, "maps", "c", 0));
@@ -216,9 +216,9 @@
         (desk.broker.held(), desk.broker.queued(Rank::Background)),
         (1, 1)
     );
-    desk.step(Event::Cancel(Ticket(2)));
+    desk.step(Event::Cancel(PlacementId(2)));
     assert_eq!(desk.broker.queued(Rank::Background), 0);
-    desk.step(Event::Cancel(Ticket(1)));
+    desk.step(Event::Cancel(PlacementId(1)));
     assert_eq!(desk.broker.held(), 0);
     let effects = desk.ask(ask(3, Rank::Background, "maps", "c", 9));
     assert_eq!(grants(&effects).len(), 1);
--- a/crates/coordination/tests/broker.rs
+++ b/crates/coordination/tests/broker.rs
@@ -3,11 +3,11 @@
 mod support;
 
 use coordination::admission::Reason;
-use coordination::ask::Ticket;
 use coordination::broker::Effect;
 use coordination::broker::Event;
 use coordination::capacity::Bound;
 use coordination::capacity::Standing;
+use coordination::placement_request::PlacementId;
 use coordination::report::Held;
 use coordination::report::Progress;
 use state::column::Column;
@@ -46,7 +46,7 @@
     assert_eq!(refusals(&effects), [Reason::WorkspaceLimit]);
     let effects = desk.ask(ask(101, Rank::Urgent, "shops", "c", 0));
     assert_eq!(effects, [], "all places are taken, so the request waits");
-    let effects = desk.report(Ticket(0), Progress::Finished);
+    let effects = desk.report(PlacementId(0), Progress::Finished);
     assert_eq!(grants(&effects).len(), 1);
 }
 
@@ -90,7 +90,7 @@
     let effects = desk.ask(ask(51, Rank::Urgent, "maps", "c", 0));
     assert_eq!(grants(&effects).len(), 1);
     for serial in 0..u128::from(SLOTS) {
-        desk.report(Ticket(serial), Progress::Failed);
+        desk.report(PlacementId(serial), Progress::Failed);
     }
     assert_eq!(desk.broker.held(), 1);
 }
@@ -125,7 +125,7 @@
             let workspace = format!("w{}", serial % 7);
             effects.extend(desk.ask(ask(serial, rank, &workspace, "c", (serial % 5) as usize)));
             effects.extend(desk.tick(7));
-            effects.extend(desk.report(Ticket(serial / 2), Progress::Finished));
+            effects.extend(desk.report(PlacementId(serial / 2), Progress::Finished));
         }
         effects
     };
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use coordination::ask::Ticket;
 use coordination::capacity::Standing;
 use coordination::grant::Import;
+use coordination::placement_request::PlacementId;
 use coordination::report::Progress;
 use state::column::Column;
 use state::rank::Rank;
@@ -37,7 +37,7 @@
         (grant.upstream.as_str(), grant.resident_blocks),
         (holder, 6)
     );
-    desk.report(Ticket(1), Progress::FirstToken);
+    desk.report(PlacementId(1), Progress::FirstToken);
     let nested = grants(&desk.ask(ask(2, Rank::Urgent, "maps", "c", 3))).remove(0);
     assert_eq!(
         (nested.upstream.as_str(), nested.resident_blocks),
@@ -49,7 +49,7 @@
 fn same_new_prefix_stays_together_before_any_cache_event() {
     let mut desk = Desk::new(&["a", "b", "c"]);
     let first = upstreams(&desk.ask(ask(1, Rank::Urgent, "maps", "c", 4)));
-    desk.report(Ticket(1), Progress::FirstToken);
+    desk.report(PlacementId(1), Progress::FirstToken);
     let second = upstreams(&desk.ask(ask(2, Rank::Urgent, "maps", "c", 4)));
     assert_eq!(first, second);
 }
@@ -142,7 +142,7 @@
         let effects = desk.ask(ask(serial, Rank::Urgent, &workspace, "c", 1));
         on_a += upstreams(&effects).iter().filter(|u| *u == "a").count();
         desk.tick(400);
-        desk.report(Ticket(serial), Progress::Finished);
+        desk.report(PlacementId(serial), Progress::Finished);
     }
     assert_eq!(on_a, 40);
 }
@@ -195,12 +195,12 @@
     let mut desk = Desk::new(&["a", "b"]);
     let holder = warm(&mut desk, 2);
     desk.ask(ask(1, Rank::Urgent, "maps", "c", 2));
-    desk.report(Ticket(1), Progress::Failed);
+    desk.report(PlacementId(1), Progress::Failed);
     assert_ne!(
         upstreams(&desk.ask(ask(2, Rank::Urgent, "maps", "c", 2))),
         [holder]
     );
-    desk.report(Ticket(2), Progress::Failed);
+    desk.report(PlacementId(2), Progress::Failed);
     desk.now += 1_000;
     assert_eq!(
         upstreams(&desk.ask(ask(3, Rank::Urgent, "maps", "c", 2))),
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -6,13 +6,13 @@
 use std::sync::Arc;
 
 use coordination::admission::Reason;
-use coordination::ask::Ask;
-use coordination::ask::Ticket;
 use coordination::broker::Broker;
 use coordination::broker::Effect;
 use coordination::broker::Event;
 use coordination::broker::Grant;
 use coordination::capacity::Standing;
+use coordination::placement_request::PlacementId;
+use coordination::placement_request::PlacementRequest;
 use coordination::report::Progress;
 use coordination::report::Report;
 use coordination::report::Sample;
@@ -160,12 +160,15 @@
         });
     }
 
-    pub fn ask(&mut self, ask: Ask) -> Vec<Effect> {
-        self.step(Event::Ask(ask))
+    pub fn ask(&mut self, ask: PlacementRequest) -> Vec<Effect> {
+        self.step(Event::Arrival(ask))
     }
 
-    pub fn report(&mut self, ticket: Ticket, progress: Progress) -> Vec<Effect> {
-        self.step(Event::Report(Report { progress, ticket }))
+    pub fn report(&mut self, placement_id: PlacementId, progress: Progress) -> Vec<Effect> {
+        self.step(Event::Report(Report {
+            progress,
+            placement_id,
+        }))
     }
 
     pub fn tick(&mut self, millis: u64) -> Vec<Effect> {
@@ -178,8 +181,14 @@
     BlockHash::root(workspace, "m", "v1").chain(&vec![7; blocks], 1)
 }
 
-pub fn ask(serial: u128, rank: Rank, workspace: &str, caller: &str, blocks: usize) -> Ask {
-    Ask {
+pub fn ask(
+    serial: u128,
+    rank: Rank,
+    workspace: &str,
+    caller: &str,
+    blocks: usize,
+) -> PlacementRequest {
+    PlacementRequest {
         block_tokens: 4_096,
         blocks: prompt(workspace, blocks),
         caller: caller.to_owned(),
@@ -190,9 +199,9 @@
         output_tokens: 50,
         prompt_tokens: blocks as u32 * 4_096 + 100,
         rank,
-        ticket: Ticket(serial),
+        placement_id: PlacementId(serial),
         workspace: workspace.to_owned(),
-        ..Ask::default()
+        ..PlacementRequest::default()
     }
 }
 
--- a/crates/hibiscushoistd/examples/role_slopes.rs
+++ b/crates/hibiscushoistd/examples/role_slopes.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use coordination::broker::Ask;
 use coordination::broker::Broker;
 use coordination::broker::Event;
+use coordination::broker::PlacementId;
+use coordination::broker::PlacementRequest;
 use coordination::broker::Report;
-use coordination::broker::Ticket;
 use coordination::machine::Answer;
 use coordination::machine::Command;
 use coordination::machine::Machine;
@@ -85,10 +85,16 @@
     let mut granted = 0;
     for number in 0..ASKS {
         let now = time::Instant(10 + number);
-        granted += broker.step(now, Event::Ask(ask(number))).len();
+        granted += broker.step(now, Event::Arrival(ask(number))).len();
         for progress in [Progress::FirstToken, Progress::Finished] {
-            let ticket = Ticket(u128::from(number));
-            broker.step(now, Event::Report(Report { progress, ticket }));
+            let placement_id = PlacementId(u128::from(number));
+            broker.step(
+                now,
+                Event::Report(Report {
+                    progress,
+                    placement_id,
+                }),
+            );
         }
     }
     println!(
@@ -208,10 +214,10 @@
     machine
 }
 
-fn ask(number: u64) -> Ask {
+fn ask(number: u64) -> PlacementRequest {
     let owner = number % UPSTREAMS;
     let first = number % (BLOCKS - PROMPT_BLOCKS);
-    Ask {
+    PlacementRequest {
         block_tokens: 4096,
         blocks: (first..first + PROMPT_BLOCKS)
             .map(|n| block(owner, n))
@@ -221,9 +227,9 @@
         output_tokens: 100,
         prompt_tokens: 4096 * PROMPT_BLOCKS as u32 + 100,
         rank: Rank::Urgent,
-        ticket: Ticket(u128::from(number)),
+        placement_id: PlacementId(u128::from(number)),
         workspace: format!("w{}", number % 8),
-        ..Ask::default()
+        ..PlacementRequest::default()
     }
 }
 
--- a/crates/hibiscushoistd/src/attempt.rs
+++ b/crates/hibiscushoistd/src/attempt.rs
@@ -222,7 +222,7 @@
             self.started = Some(transport::clock::wall_millis());
             let _ = self.context.broker.settle(Report {
                 progress: Progress::FirstToken,
-                ticket: self.grant.ticket,
+                placement_id: self.grant.placement_id,
             });
         }
         let sent = self.parts.send_timeout(Part::Text(text), SLOW_CALLER).await;
--- a/crates/hibiscushoistd/src/broker.rs
+++ b/crates/hibiscushoistd/src/broker.rs
@@ -17,13 +17,13 @@
 use crate::owner::Part;
 use coordination::admission::Reason;
 use coordination::admission::Refusal;
-use coordination::broker::Ask;
 use coordination::broker::Broker;
 use coordination::broker::Effect;
 use coordination::broker::Event;
 use coordination::broker::Grant;
+use coordination::broker::PlacementId;
+use coordination::broker::PlacementRequest;
 use coordination::broker::Report;
-use coordination::broker::Ticket;
 use coordination::capacity::Bound;
 use coordination::shard;
 use coordination::view::View;
@@ -55,7 +55,7 @@
 type Answer = Result<Box<Grant>, Refusal>;
 
 enum Call {
-    Ask(Part, Box<Ask>, oneshot::Sender<Answer>),
+    Ask(Part, Box<PlacementRequest>, oneshot::Sender<Answer>),
     Event(Part, Box<Event>),
 }
 
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// Returns the broker's refusal, or why the duty could not be reached.
-    pub async fn place(&self, ask: Ask) -> Result<Grant, Error> {
+    pub async fn place(&self, ask: PlacementRequest) -> Result<Grant, Error> {
         let owner = self.owners.of(&ask);
         let answer = match &owner {
             Owner::Here(part) => Some(self.place_here(*part, ask.clone()).await),
@@ -99,11 +99,11 @@
     /// # Errors
     ///
     /// Returns the broker's refusal, or why the duty could not be reached.
-    pub async fn place_here(&self, part: Part, ask: Ask) -> Result<Box<Grant>, Error> {
+    pub async fn place_here(&self, part: Part, ask: PlacementRequest) -> Result<Box<Grant>, Error> {
         let cancel = Cancel {
             handle: self,
             part,
-            ticket: Some(ask.ticket),
+            placement_id: Some(ask.placement_id),
         };
         let (answer, answered) = oneshot::channel();
         self.ring.send(Call::Ask(part, Box::new(ask), answer))?;
@@ -160,7 +160,7 @@
         }
     }
 
-    async fn stand_in(&self, ask: Ask) -> Result<Grant, Error> {
+    async fn stand_in(&self, ask: PlacementRequest) -> Result<Grant, Error> {
         match self.place_here(Part::StandIn, ask).await {
             Err(Error::Refused(refusal)) if refusal.reason == Reason::NotOwner => {
                 Err(Error::Refused(Refusal {
@@ -185,19 +185,19 @@
 struct Cancel<'a> {
     handle: &'a Handle,
     part: Part,
-    ticket: Option<Ticket>,
+    placement_id: Option<PlacementId>,
 }
 
 impl Cancel<'_> {
     fn disarm(mut self) {
-        self.ticket = None;
+        self.placement_id = None;
     }
 }
 
 impl Drop for Cancel<'_> {
     fn drop(&mut self) {
-        if let Some(ticket) = self.ticket {
-            let _ = self.handle.send(self.part, Event::Cancel(ticket));
+        if let Some(placement_id) = self.placement_id {
+            let _ = self.handle.send(self.part, Event::Cancel(placement_id));
         }
     }
 }
@@ -210,7 +210,7 @@
     stand_in: Broker,
     table: watch::Receiver<Arc<Table>>,
     view: watch::Receiver<Arc<View>>,
-    waiting: HashMap<Ticket, oneshot::Sender<Answer>>,
+    waiting: HashMap<PlacementId, oneshot::Sender<Answer>>,
 }
 
 /// Starts the duty, which names in `resyncs` the upstreams whose whole cache it needs.
@@ -256,16 +256,16 @@
                     self.step(Part::StandIn, Event::Tick);
                 }
                 Ok(Call::Ask(part, ask, answer)) => {
-                    self.waiting.insert(ask.ticket, answer);
-                    self.step(part, Event::Ask(*ask));
+                    self.waiting.insert(ask.placement_id, answer);
+                    self.step(part, Event::Arrival(*ask));
                 }
                 Ok(Call::Event(part, event)) => self.step(part, *event),
             }
         }
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        let Some(waiting) = self.waiting.remove(&ticket) else {
+    fn answer(&mut self, placement_id: PlacementId, answer: Answer) {
+        let Some(waiting) = self.waiting.remove(&placement_id) else {
             return;
         };
         let _ = waiting.send(answer);
@@ -302,8 +302,8 @@
     }
 
     fn step(&mut self, part: Part, event: Event) {
-        if let Event::Cancel(ticket) = event {
-            self.waiting.remove(&ticket);
+        if let Event::Cancel(placement_id) = event {
+            self.waiting.remove(&placement_id);
         }
         let now = self.clock.now();
         let broker = match part {
@@ -313,8 +313,8 @@
         for effect in broker.step(now, event) {
             match effect {
                 Effect::Export { .. } => {}
-                Effect::Grant(grant) => self.answer(grant.ticket, Ok(grant)),
-                Effect::Refuse(refusal) => self.answer(refusal.ticket, Err(refusal)),
+                Effect::Grant(grant) => self.answer(grant.placement_id, Ok(grant)),
+                Effect::Refuse(refusal) => self.answer(refusal.placement_id, Err(refusal)),
                 Effect::Resync { upstream } => {
                     let _ = self.resyncs.try_send(upstream);
                 }
--- a/crates/hibiscushoistd/src/import.rs
+++ b/crates/hibiscushoistd/src/import.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::timeout;
 
-use coordination::broker::Ask;
 use coordination::broker::Grant;
+use coordination::broker::PlacementRequest;
 use protocol::engine;
 use state::column::Column;
 use state::sheet::Sheet;
@@ -27,7 +27,7 @@
 
 /// Has the engine at `target` import the blocks that `grant` names, by way of a store where another
 /// engine holds them. Without success the engine computes them.
-pub async fn run(table: &Table, ask: &Ask, grant: &Grant, target: SocketAddr) {
+pub async fn run(table: &Table, ask: &PlacementRequest, grant: &Grant, target: SocketAddr) {
     let (Some(import), Some(version)) = (&grant.import, &grant.version) else {
         return;
     };
--- a/crates/hibiscushoistd/src/job.rs
+++ b/crates/hibiscushoistd/src/job.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 
 use crate::request::Request;
-use coordination::broker::Ask;
-use coordination::broker::Ticket;
+use coordination::broker::PlacementId;
+use coordination::broker::PlacementRequest;
 use protocol::completion;
 use protocol::header;
 use protocol::refusal::Reason;
@@ -43,7 +43,7 @@
     /// Holds the bytes of prompt in one cached block.
     pub block_bytes: usize,
     /// Holds what the broker is asked.
-    pub ask: Ask,
+    pub ask: PlacementRequest,
     /// Holds the point in time after which the answer is of no more use.
     pub deadline: Instant,
     /// Identifies the content.
@@ -100,7 +100,7 @@
         let block_bytes = model.number(Column::BlockBytes);
         let block_bytes = block_bytes.unwrap_or(DEFAULT_BLOCK_BYTES) as usize;
         let root = BlockHash::root(setting.workspace, &asked.model, NO_VERSION);
-        let ask = Ask {
+        let ask = PlacementRequest {
             block_tokens: (block_bytes / BYTES_PER_TOKEN) as u32,
             blocks: root.chain(prompt.as_bytes(), block_bytes),
             caller: asked.user.clone().unwrap_or_default(),
@@ -112,7 +112,7 @@
             output_tokens: max_tokens as u32,
             prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN) as u32,
             rank: rank(request, row)?,
-            ticket: Ticket(rand::random()),
+            placement_id: PlacementId(rand::random()),
             version: None,
             workspace: setting.workspace.to_owned(),
         };
--- a/crates/hibiscushoistd/src/owner.rs
+++ b/crates/hibiscushoistd/src/owner.rs
@@ -15,11 +15,11 @@
 
 use crate::pool::Pool;
 use coordination::admission::Refusal;
-use coordination::broker::Ask;
 use coordination::broker::Grant;
 use coordination::broker::Held;
+use coordination::broker::PlacementId;
+use coordination::broker::PlacementRequest;
 use coordination::broker::Report;
-use coordination::broker::Ticket;
 use coordination::report::Progress;
 use coordination::shard;
 use coordination::view::View;
@@ -74,7 +74,7 @@
 struct Shared {
     away: AtomicBool,
     log: Logger,
-    placed: Mutex<HashMap<Ticket, Placed>>,
+    placed: Mutex<HashMap<PlacementId, Placed>>,
     pool: Option<Pool>,
     silent: Mutex<HashMap<String, Instant>>,
     table: watch::Receiver<Arc<Table>>,
@@ -109,7 +109,7 @@
     }
 
     /// Returns the owner that should place a request.
-    pub fn of(&self, ask: &Ask) -> Owner {
+    pub fn of(&self, ask: &PlacementRequest) -> Owner {
         let table = self.shared.table.borrow().clone();
         let view = self.shared.view.borrow().clone();
         let root = ask.blocks.first().copied().unwrap_or_default();
@@ -118,7 +118,11 @@
     }
 
     /// Asks the broker of `host` for a place, or returns nothing where it could not be asked.
-    pub async fn place(&self, host: &str, ask: &Ask) -> Option<Result<Box<Grant>, Refusal>> {
+    pub async fn place(
+        &self,
+        host: &str,
+        ask: &PlacementRequest,
+    ) -> Option<Result<Box<Grant>, Refusal>> {
         if self.is_passed_over(host) {
             return None;
         }
@@ -130,7 +134,7 @@
         answer
     }
 
-    async fn ask(&self, host: &str, ask: &Ask) -> Option<Result<Box<Grant>, Refusal>> {
+    async fn ask(&self, host: &str, ask: &PlacementRequest) -> Option<Result<Box<Grant>, Refusal>> {
         let client = self.client(host)?;
         let limit = Duration::from_millis(ask.deadline_ms) + GRACE;
         let ask = ask.clone();
@@ -144,26 +148,26 @@
     }
 
     /// Remembers a grant until its request ends.
-    pub fn remember(&self, ask: Ask, grant: &Grant, owner: Owner) {
+    pub fn remember(&self, ask: PlacementRequest, grant: &Grant, owner: Owner) {
         let held = Held {
             ask,
             started: false,
             upstream: grant.upstream.clone(),
         };
         let placed = Placed { held, owner };
-        self.placed().insert(grant.ticket, placed);
+        self.placed().insert(grant.placement_id, placed);
     }
 
     /// Passes a report to the owner on another host, or returns the broker of this host.
     pub fn settle(&self, report: Report) -> Option<Part> {
         let owner = {
             let mut placed = self.placed();
-            let entry = placed.get_mut(&report.ticket)?;
+            let entry = placed.get_mut(&report.placement_id)?;
             let owner = entry.owner.clone();
             match report.progress {
                 Progress::FirstToken => entry.held.started = true,
                 Progress::Failed | Progress::Finished => {
-                    placed.remove(&report.ticket);
+                    placed.remove(&report.placement_id);
                 }
             }
             owner
@@ -183,7 +187,7 @@
         let view = self.shared.view.borrow().clone();
         let shards = shard::count(&table);
         let mut moved = Moved::default();
-        for (ticket, placed) in self.placed().iter_mut() {
+        for (placement_id, placed) in self.placed().iter_mut() {
             let shard = shard::of_upstream(&placed.held.upstream, shards);
             let now = owner(&view, shard);
             if now == placed.owner || now == Owner::Here(Part::StandIn) {
@@ -192,7 +196,7 @@
             let progress = Progress::Finished;
             let report = Report {
                 progress,
-                ticket: *ticket,
+                placement_id: *placement_id,
             };
             match std::mem::replace(&mut placed.owner, now.clone()) {
                 Owner::Here(part) => moved.released.push((part, report)),
@@ -265,7 +269,7 @@
         silent.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn placed(&self) -> MutexGuard<'_, HashMap<Ticket, Placed>> {
+    fn placed(&self) -> MutexGuard<'_, HashMap<PlacementId, Placed>> {
         let placed = self.shared.placed.lock();
         placed.unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -120,14 +120,14 @@
         self.suspects.answer(call)
     }
 
-    async fn place(self, _: Context, ask: broker::Ask) -> Result<Box<Grant>, Refusal> {
-        let ticket = ask.ticket;
+    async fn place(self, _: Context, ask: broker::PlacementRequest) -> Result<Box<Grant>, Refusal> {
+        let placement_id = ask.placement_id;
         match self.broker.place_here(Part::Own, ask).await {
             Err(Error::Refused(refusal)) => Err(refusal),
             Err(Error::Ring(_) | Error::Unanswered) => Err(Refusal {
                 reason: Reason::Overloaded,
                 retry_after_ms: BUSY_MS,
-                ticket,
+                placement_id,
             }),
             Ok(grant) => Ok(grant),
         }
--- a/crates/hibiscushoistd/src/stream.rs
+++ b/crates/hibiscushoistd/src/stream.rs
@@ -20,8 +20,8 @@
 use crate::suspects::Pass;
 use coordination::admission;
 use coordination::broker::Grant;
+use coordination::broker::PlacementId;
 use coordination::broker::Report;
-use coordination::broker::Ticket;
 use coordination::quarantine;
 use coordination::quarantine::Outcome;
 use coordination::quarantine::Verdict;
@@ -282,7 +282,7 @@
         }
     }
 
-    fn ask(&mut self) -> Result<coordination::broker::Ask, Failure> {
+    fn ask(&mut self) -> Result<coordination::broker::PlacementRequest, Failure> {
         let left = self.job.deadline.since(self.context.clock.now());
         if left == 0 {
             return Err(self.failure(Reason::Deadline));
@@ -292,7 +292,7 @@
         let mut ask = self.job.ask.clone();
         ask.deadline_ms = left;
         ask.excluded = health.excluded(&table, &ask.model, &self.failed);
-        ask.ticket = Ticket(rand::random());
+        ask.placement_id = PlacementId(rand::random());
         ask.version = self.answer.resume().version;
         Ok(ask)
     }
@@ -375,7 +375,7 @@
     fn report(&self, grant: &Grant, progress: Progress) {
         let _ = self.context.broker.settle(Report {
             progress,
-            ticket: grant.ticket,
+            placement_id: grant.placement_id,
         });
     }
 
--- a/crates/hibiscushoistd/tests/imports.rs
+++ b/crates/hibiscushoistd/tests/imports.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use coordination::broker::Ask;
 use coordination::broker::Grant;
-use coordination::broker::Ticket;
+use coordination::broker::PlacementId;
+use coordination::broker::PlacementRequest;
 use coordination::grant::Import;
 use fakes::engine::Engine;
 use fakes::engine::Options;
@@ -26,7 +26,7 @@
 const PROMPT: &str = "0123456789abcdef0123456789ABCDEF";
 
 struct Bench {
-    ask: Ask,
+    ask: PlacementRequest,
     source: Engine,
     store: Store,
     table: Table,
@@ -63,10 +63,10 @@
         let mut table = Table::default();
         add(&mut table, "s", "engine", source.address());
         add(&mut table, "k", "kv_store", store.address());
-        let ask = Ask {
+        let ask = PlacementRequest {
             blocks: BlockHash::root("w", "m", "").chain(PROMPT.as_bytes(), 16),
             workspace: "w".to_owned(),
-            ..Ask::default()
+            ..PlacementRequest::default()
         };
         let bench = Self {
             ask,
@@ -111,7 +111,7 @@
             priority: Rank::Urgent,
             resident_blocks: 0,
             scores: Vec::new(),
-            ticket: Ticket::default(),
+            placement_id: PlacementId::default(),
             upstream: "t".to_owned(),
             version: Some("v1".to_owned()),
             waited_ms: 0,
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -53,7 +53,7 @@
     /// Answers for the requests that may crash upstreams.
     async fn suspect(call: quarantine::Call) -> quarantine::Answer;
     /// Asks for a place on an upstream that the host owns, and waits for it.
-    async fn place(ask: broker::Ask) -> Result<Box<Grant>, Refusal>;
+    async fn place(ask: broker::PlacementRequest) -> Result<Box<Grant>, Refusal>;
     /// Tells the owner of an upstream how far a granted request has come.
     async fn settle(report: Report);
     /// Reports a request again to the new owner of its upstream.
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -99,11 +99,15 @@
         quarantine::Answer::Done
     }
 
-    async fn place(self, _: Context, ask: broker::Ask) -> Result<Box<Grant>, admission::Refusal> {
+    async fn place(
+        self,
+        _: Context,
+        ask: broker::PlacementRequest,
+    ) -> Result<Box<Grant>, admission::Refusal> {
         Err(admission::Refusal {
             reason: admission::Reason::NoUpstream,
             retry_after_ms: 0,
-            ticket: ask.ticket,
+            placement_id: ask.placement_id,
         })
     }
 
