--- a/crates/coordination/src/addresses.rs
+++ b/crates/coordination/src/addresses.rs
@@ -16,15 +16,15 @@
 use crate::view::View;
 
 /// Bounds the addresses in an answer.
-pub const LIMIT: usize = 6;
+pub const MAX_ADDRESSES: usize = 6;
 
-const SPREAD: usize = 4;
+const PREFERRED_HOSTS: usize = 4;
 
 /// Describes a caller that asks for addresses.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Request {
     /// Holds a random number, which makes the lot.
-    pub draw: u64,
+    pub random: u64,
     /// Names the prefix that the caller's requests share.
     pub prefix: Option<String>,
     /// Names the workspace.
@@ -32,22 +32,22 @@
 }
 
 /// Returns the addresses for a caller, the preferred one first.
-pub fn order(view: &View, ask: &Ask) -> Vec<SocketAddr> {
+pub fn select(view: &View, request: &Request) -> Vec<SocketAddr> {
     let mut candidates = candidates(view);
     let region = view.get(&view.me).map(|me| &me.record.profile.region);
     candidates.sort_by_cached_key(|member| {
         let far = Some(&member.record.profile.region) != region;
-        let score = rendezvous::score(ask.workspace.as_bytes(), &member.record.host);
+        let score = rendezvous::score(request.workspace.as_bytes(), &member.record.host);
         (class(member), far, u64::MAX - score)
     });
-    let first = first(&candidates, ask);
+    let first = first(&candidates, request);
     if let Some(first) = first {
         let member = candidates.remove(first);
         candidates.insert(0, member);
     }
     let mixed = mix(candidates);
     let addresses = mixed.iter().filter_map(|m| m.record.profile.entry);
-    addresses.take(LIMIT).collect()
+    addresses.take(MAX_ADDRESSES).collect()
 }
 
 /// Returns the entries that take work, or the draining ones where there is no other.
@@ -75,14 +75,14 @@
 }
 
 /// Returns the place of the host to name first, among the workspace's preferred ones.
-fn first(candidates: &[&Member], ask: &Ask) -> Option<usize> {
+fn first(candidates: &[&Member], request: &Request) -> Option<usize> {
     let best = class(candidates.first()?);
     let equals = candidates.iter().filter(|m| class(m) == best).count();
-    let preferred = &candidates[..equals.min(SPREAD)];
-    match &ask.prefix {
-        None => Some((ask.draw % preferred.len() as u64) as usize),
+    let preferred = &candidates[..equals.min(PREFERRED_HOSTS)];
+    match &request.prefix {
+        None => Some((request.random % preferred.len() as u64) as usize),
         Some(prefix) => {
-            let key = format!("{}/{prefix}", ask.workspace);
+            let key = format!("{}/{prefix}", request.workspace);
             let score = |m: &Member| rendezvous::score(key.as_bytes(), &m.record.host);
             (0..preferred.len()).max_by_key(|place| score(preferred[*place]))
         }
--- a/crates/coordination/tests/addresses.rs
+++ b/crates/coordination/tests/addresses.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use coordination::addresses;
-use coordination::addresses::Ask;
+use coordination::addresses::Request;
 use coordination::host::Load;
 use coordination::host::Record;
 use coordination::host::Standing;
@@ -50,9 +50,9 @@
     (0..hosts).find(|p| entry(*p) == address).unwrap()
 }
 
-fn ask(workspace: usize, draw: u64) -> Ask {
-    Ask {
-        draw,
+fn ask(workspace: usize, random: u64) -> Request {
+    Request {
+        random,
         prefix: None,
         workspace: format!("workspace-{workspace}"),
     }
@@ -65,7 +65,7 @@
     view.hosts[2].record.standing = Standing::Left;
     view.hosts[3].record.profile.draining = true;
     for workspace in 0..100 {
-        let told = addresses::order(&view, &ask(workspace, workspace as u64));
+        let told = addresses::select(&view, &ask(workspace, workspace as u64));
         for absent in [1, 2, 3] {
             assert!(!told.contains(&entry(absent)), "workspace {workspace}");
         }
@@ -78,7 +78,7 @@
     for member in &mut view.hosts {
         member.record.profile.draining = true;
     }
-    assert_eq!(addresses::order(&view, &ask(0, 0)).len(), 2);
+    assert_eq!(addresses::select(&view, &ask(0, 0)).len(), 2);
 }
 
 #[test]
@@ -86,7 +86,7 @@
     for hosts in [3, 8, 390] {
         let view = view(hosts);
         for (workspace, lost) in (0..100).flat_map(|w| (0..DOMAINS).map(move |d| (w, d))) {
-            let told = addresses::order(&view, &ask(workspace, workspace as u64));
+            let told = addresses::select(&view, &ask(workspace, workspace as u64));
             let left = told.iter().filter(|a| place(**a, hosts) % DOMAINS != lost);
             assert!(left.count() >= 2, "{hosts} hosts, workspace {workspace}");
             let first_three = told.iter().take(3).map(|a| place(*a, hosts) % DOMAINS);
@@ -101,8 +101,8 @@
     view.hosts[1].record.profile.load = Load::Busy;
     view.hosts[2].record.profile.load = Load::Overloaded;
     view.hosts[3].record.standing = Standing::Suspect;
-    for (workspace, draw) in (0..100).flat_map(|w| (0..8).map(move |d| (w, d))) {
-        let first = addresses::order(&view, &ask(workspace, draw))[0];
+    for (workspace, random) in (0..100).flat_map(|w| (0..8).map(move |d| (w, d))) {
+        let first = addresses::select(&view, &ask(workspace, random))[0];
         assert!(
             ![1, 2, 3].contains(&place(first, 8)),
             "workspace {workspace}"
@@ -115,13 +115,13 @@
     let view = view(8);
     let mut firsts = BTreeSet::new();
     for prefix in 0..50 {
-        let told = |draw| {
+        let told = |random| {
             let prefix = Some(format!("dossier-{prefix}"));
-            let ask = Ask {
+            let ask = Request {
                 prefix,
-                ..ask(1, draw)
+                ..ask(1, random)
             };
-            addresses::order(&view, &ask)[0]
+            addresses::select(&view, &ask)[0]
         };
         assert_eq!(told(1), told(2));
         firsts.insert(told(1));
@@ -132,7 +132,7 @@
 #[test]
 fn a_workspace_stays_on_few_hosts_while_they_have_room() {
     let view = view(390);
-    let firsts = (0..200).map(|draw| addresses::order(&view, &ask(7, draw))[0]);
+    let firsts = (0..200).map(|random| addresses::select(&view, &ask(7, random))[0]);
     assert_eq!(firsts.collect::<BTreeSet<_>>().len(), 4);
 }
 
@@ -156,7 +156,7 @@
                     within
                 });
                 let ask = ask(workspace.unwrap(), rng.random());
-                let told = place(addresses::order(&view, &ask)[0], HOSTS);
+                let told = place(addresses::select(&view, &ask)[0], HOSTS);
                 if let Some(before) = kept.insert(connection, told) {
                     loads[before] -= 1;
                 }
--- a/crates/hibiscushoistd/src/caller.rs
+++ b/crates/hibiscushoistd/src/caller.rs
@@ -12,7 +12,7 @@
 use crate::request::Request;
 use crate::respond;
 use coordination::addresses;
-use coordination::addresses::Ask;
+use coordination::addresses::Request as AddressRequest;
 use protocol::address::Listing;
 use protocol::refusal::Reason;
 use protocol::refusal::Refusal;
@@ -28,13 +28,13 @@
         let lifetime = entry
             .map(|entry| entry.address_lifetime)
             .unwrap_or_default();
-        let ask = Ask {
-            draw: rand::random(),
+        let ask = AddressRequest {
+            random: rand::random(),
             prefix: request.query_text("prefix").map(str::to_owned),
             workspace: auth::workspace(&request.headers, &context.table()).unwrap_or_default(),
         };
         let listing = Listing {
-            addresses: addresses::order(&context.view(), &ask),
+            addresses: addresses::select(&context.view(), &ask),
             lifetime_ms: lifetime.as_millis() as u64,
         };
         let mut response = respond::json(200, &listing);
