--- a/crates/coordination/src/drain.rs
+++ b/crates/coordination/src/drain.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Tells how long callers may hold an address.
-    pub lifetime: u64,
+    pub address_lifetime_ms: u64,
     /// Bounds the time after that lifetime until the last request must have ended.
-    pub limit: u64,
+    pub drain_limit_ms: u64,
     /// Bounds the time until every host knows of the drain and names this one no more.
-    pub spread: u64,
+    pub propagation_ms: u64,
 }
 
 impl Limits {
@@ -23,8 +23,10 @@
     ///
     /// All are while some hosts may still name this one. After that only callers with an old
     /// address come, and one whose answer may be cut when this host ends is sent to another.
-    pub fn takes(&self, since: u64, lasting: u64) -> bool {
-        since <= self.spread || since + lasting <= self.spread + self.lifetime + self.limit
+    pub fn accepts(&self, elapsed_ms: u64, duration_ms: u64) -> bool {
+        elapsed_ms <= self.propagation_ms
+            || elapsed_ms + duration_ms
+                <= self.propagation_ms + self.address_lifetime_ms + self.drain_limit_ms
     }
 }
 
@@ -90,7 +92,7 @@
     pub fn step(&mut self, now: Instant, event: Event) -> Option<Effect> {
         match (self.phase, event) {
             (Phase::Serving, Event::Signal) => {
-                let until = now + self.limits.spread + self.limits.lifetime;
+                let until = now + self.limits.propagation_ms + self.limits.address_lifetime_ms;
                 self.phase = Phase::Listed { until };
                 Some(Effect::Announce)
             }
@@ -98,7 +100,7 @@
                 self.end(Outcome::Forced)
             }
             (Phase::Listed { until }, Event::Tick { .. }) if now >= until => {
-                let until = now + self.limits.limit;
+                let until = now + self.limits.drain_limit_ms;
                 self.phase = Phase::Closing { until };
                 Some(Effect::Close)
             }
--- a/crates/coordination/tests/drain.rs
+++ b/crates/coordination/tests/drain.rs
@@ -7,15 +7,15 @@
 use coordination::drain::Outcome;
 use state::time::Instant;
 
-const LIFETIME: u64 = 10_000;
-const LIMIT: u64 = 60_000;
-const SPREAD: u64 = 500;
-const CLOSE: u64 = SPREAD + LIFETIME;
+const ADDRESS_LIFETIME_MS: u64 = 10_000;
+const DRAIN_LIMIT_MS: u64 = 60_000;
+const PROPAGATION_MS: u64 = 500;
+const CLOSE_MS: u64 = PROPAGATION_MS + ADDRESS_LIFETIME_MS;
 
 const LIMITS: Limits = Limits {
-    lifetime: LIFETIME,
-    limit: LIMIT,
-    spread: SPREAD,
+    address_lifetime_ms: ADDRESS_LIFETIME_MS,
+    drain_limit_ms: DRAIN_LIMIT_MS,
+    propagation_ms: PROPAGATION_MS,
 };
 
 fn drain() -> Drain {
@@ -42,16 +42,16 @@
     let steps = [
         (0, Event::Signal),
         (1, tick(0)),
-        (CLOSE - 1, tick(0)),
-        (CLOSE, tick(2)),
-        (CLOSE + 1, tick(1)),
-        (CLOSE + 2, tick(0)),
-        (CLOSE + 3, tick(0)),
+        (CLOSE_MS - 1, tick(0)),
+        (CLOSE_MS, tick(2)),
+        (CLOSE_MS + 1, tick(1)),
+        (CLOSE_MS + 2, tick(0)),
+        (CLOSE_MS + 3, tick(0)),
     ];
     let expected = [
         (0, Effect::Announce),
-        (CLOSE, Effect::Close),
-        (CLOSE + 2, Effect::End(Outcome::Clean)),
+        (CLOSE_MS, Effect::Close),
+        (CLOSE_MS + 2, Effect::End(Outcome::Clean)),
     ];
     assert_eq!(effects(&steps), expected);
 }
@@ -60,28 +60,28 @@
 fn the_limit_ends_a_drain_that_does_not_finish() {
     let steps = [
         (0, Event::Signal),
-        (CLOSE, tick(1)),
-        (CLOSE + LIMIT - 1, tick(1)),
-        (CLOSE + LIMIT, tick(1)),
-        (CLOSE + LIMIT + 1, Event::Signal),
+        (CLOSE_MS, tick(1)),
+        (CLOSE_MS + DRAIN_LIMIT_MS - 1, tick(1)),
+        (CLOSE_MS + DRAIN_LIMIT_MS, tick(1)),
+        (CLOSE_MS + DRAIN_LIMIT_MS + 1, Event::Signal),
     ];
     let expected = [
         (0, Effect::Announce),
-        (CLOSE, Effect::Close),
-        (CLOSE + LIMIT, Effect::End(Outcome::LimitPassed)),
+        (CLOSE_MS, Effect::Close),
+        (CLOSE_MS + DRAIN_LIMIT_MS, Effect::End(Outcome::LimitPassed)),
     ];
     assert_eq!(effects(&steps), expected);
 }
 
 #[test]
 fn an_answer_that_may_be_cut_is_not_begun_once_no_host_names_this_one() {
-    let rest = CLOSE + LIMIT - SPREAD;
-    assert!(LIMITS.takes(0, rest * 2), "others still name this host");
-    assert!(LIMITS.takes(SPREAD, rest * 2));
-    assert!(LIMITS.takes(SPREAD + 1, rest - 1));
-    assert!(!LIMITS.takes(SPREAD + 1, rest));
-    assert!(LIMITS.takes(CLOSE, LIMIT));
-    assert!(!LIMITS.takes(CLOSE, LIMIT + 1));
+    let rest = CLOSE_MS + DRAIN_LIMIT_MS - PROPAGATION_MS;
+    assert!(LIMITS.accepts(0, rest * 2), "others still name this host");
+    assert!(LIMITS.accepts(PROPAGATION_MS, rest * 2));
+    assert!(LIMITS.accepts(PROPAGATION_MS + 1, rest - 1));
+    assert!(!LIMITS.accepts(PROPAGATION_MS + 1, rest));
+    assert!(LIMITS.accepts(CLOSE_MS, DRAIN_LIMIT_MS));
+    assert!(!LIMITS.accepts(CLOSE_MS, DRAIN_LIMIT_MS + 1));
 }
 
 #[test]
@@ -89,8 +89,8 @@
     let early = [(0, Event::Signal), (5, Event::Signal)];
     let late = [
         (0, Event::Signal),
-        (CLOSE, tick(1)),
-        (CLOSE + 5, Event::Signal),
+        (CLOSE_MS, tick(1)),
+        (CLOSE_MS + 5, Event::Signal),
     ];
     let forced = Effect::End(Outcome::Forced);
     assert_eq!(effects(&early), [(0, Effect::Announce), (5, forced)]);
@@ -98,8 +98,8 @@
         effects(&late),
         [
             (0, Effect::Announce),
-            (CLOSE, Effect::Close),
-            (CLOSE + 5, forced)
+            (CLOSE_MS, Effect::Close),
+            (CLOSE_MS + 5, forced)
         ]
     );
 }
--- a/crates/hibiscushoistd/src/context.rs
+++ b/crates/hibiscushoistd/src/context.rs
@@ -92,9 +92,9 @@
         let entry = self.settings.entry.as_ref();
         let millis = |duration: Duration| duration.as_millis() as u64;
         drain::Limits {
-            lifetime: entry.map_or(HANDOVER_MS, |entry| millis(entry.address_lifetime)),
-            limit: entry.map_or(HANDOVER_MS, |entry| millis(entry.drain_limit)),
-            spread: match self.pool {
+            address_lifetime_ms: entry.map_or(HANDOVER_MS, |entry| millis(entry.address_lifetime)),
+            drain_limit_ms: entry.map_or(HANDOVER_MS, |entry| millis(entry.drain_limit)),
+            propagation_ms: match self.pool {
                 None => 0,
                 Some(_) => SPREAD_MS,
             },
@@ -102,11 +102,11 @@
     }
 
     /// Returns whether a request is taken that may last so long, in milliseconds; see
-    /// [`drain::Limits::takes`].
+    /// [`drain::Limits::accepts`].
     pub fn takes(&self, lasting: u64) -> bool {
         let now = self.clock.now();
         let began = self.drain_began.get();
-        began.is_none_or(|at| self.drain_limits().takes(now.since(*at), lasting))
+        began.is_none_or(|at| self.drain_limits().accepts(now.since(*at), lasting))
     }
 
     /// Counts a request in flight until the returned guard is dropped.
