--- a/crates/coordination/src/liveness.rs
+++ b/crates/coordination/src/liveness.rs
@@ -62,7 +62,7 @@
         listed: Listed,
     },
     /// Tells that another host saw that this run of the upstream is about to end.
-    Noticed {
+    PeerReportedLeaving {
         /// Identifies the run of the upstream's process.
         incarnation: Incarnation,
     },
@@ -72,9 +72,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
     /// Tells that another process answers, whose cache is empty.
-    Emptied(Incarnation),
+    CacheLost(Incarnation),
     /// Tells that the standing changed.
-    Moved {
+    StandingChanged {
         /// Holds the earlier standing.
         from: Standing,
         /// Holds the present standing.
@@ -140,15 +140,15 @@
             } => self.answered(incarnation, leaving),
             Signal::Failed => self.failed(),
             Signal::Listed { edition, listed } => self.listed(edition, listed),
-            Signal::Noticed { incarnation } => self.noticed(incarnation),
+            Signal::PeerReportedLeaving { incarnation } => self.peer_reported_leaving(incarnation),
         }
         let to = self.standing();
         let emptied = self
             .incarnation
             .filter(|now| before.is_some_and(|b| b != *now));
-        let moved = (from != to).then_some(Change::Moved { from, to });
+        let moved = (from != to).then_some(Change::StandingChanged { from, to });
         emptied
-            .map(Change::Emptied)
+            .map(Change::CacheLost)
             .into_iter()
             .chain(moved)
             .collect()
@@ -190,7 +190,7 @@
         self.edition = edition;
     }
 
-    fn noticed(&mut self, incarnation: Incarnation) {
+    fn peer_reported_leaving(&mut self, incarnation: Incarnation) {
         if self.incarnation.is_none_or(|known| incarnation >= known) {
             self.incarnation = Some(incarnation);
             self.leaving = Some(Cause::Told);
--- a/crates/coordination/tests/liveness.rs
+++ b/crates/coordination/tests/liveness.rs
@@ -28,7 +28,7 @@
 }
 
 fn noticed(incarnation: u64) -> Signal {
-    Signal::Noticed {
+    Signal::PeerReportedLeaving {
         incarnation: Incarnation(incarnation),
     }
 }
@@ -172,7 +172,10 @@
 fn another_process_is_told_to_be_empty() {
     let mut tracker = Tracker::default();
     tracker.step(answered(1));
-    assert_eq!(tracker.step(answered(2)), [Change::Emptied(Incarnation(2))]);
+    assert_eq!(
+        tracker.step(answered(2)),
+        [Change::CacheLost(Incarnation(2))]
+    );
     assert_eq!(tracker.step(answered(2)), []);
     assert_eq!(tracker.step(answered(1)), []);
     assert_eq!(tracker.incarnation(), Some(Incarnation(2)));
@@ -182,10 +185,10 @@
 fn a_notice_of_a_later_run_tells_that_the_upstream_is_empty() {
     let mut tracker = Tracker::default();
     tracker.step(answered(1));
-    let moved = Change::Moved {
+    let moved = Change::StandingChanged {
         from: Standing::Serving,
         to: Standing::Leaving,
     };
-    let expected = [Change::Emptied(Incarnation(2)), moved];
+    let expected = [Change::CacheLost(Incarnation(2)), moved];
     assert_eq!(tracker.step(noticed(2)), expected);
 }
--- a/crates/hibiscushoistd/src/feed.rs
+++ b/crates/hibiscushoistd/src/feed.rs
@@ -14,7 +14,7 @@
 use crate::context::Context;
 use coordination::broker::Event;
 use coordination::capacity;
-use coordination::liveness::Change as Move;
+use coordination::liveness::Change as LivenessChange;
 use coordination::liveness::Listed;
 use coordination::liveness::Signal;
 use coordination::liveness::Standing;
@@ -233,7 +233,7 @@
 
     fn hear(&mut self, signal: Signal) {
         for change in self.tracker.step(signal) {
-            let Move::Moved { to, .. } = change else {
+            let LivenessChange::StandingChanged { to, .. } = change else {
                 continue;
             };
             if to == Standing::Down {
