--- a/crates/coordination/src/reload.rs
+++ b/crates/coordination/src/reload.rs
@@ -20,7 +20,7 @@
 /// Tells what becomes of the requests that run when weights change.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum Running {
+pub enum InFlightPolicy {
     /// Means that they go on under the new weights.
     Continue,
     /// Means that they end before the weights change.
@@ -32,27 +32,27 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// Gives the time after an order in which no engine can have finished it.
-    pub load_ms: u64,
+    pub expected_load_ms: u64,
     /// Gives how many engines may reload at once however few there are.
-    pub least: usize,
+    pub min_concurrent: usize,
     /// Bounds the time that an engine gets to end its work before its order, which is longer than
     /// most answers take.
-    pub quiet_ms: u64,
+    pub finish_wait_ms: u64,
     /// Gives the time between two reads of an engine that loads.
-    pub read_ms: u64,
+    pub read_interval_ms: u64,
     /// Tells what becomes of the requests that run.
-    pub running: Running,
+    pub in_flight_policy: InFlightPolicy,
     /// Bounds the engines that load at once, in percent of all; as many more are taken off new work
     /// beside them, to end what runs there.
-    pub share: usize,
+    pub share_percent: usize,
     /// Gives the time from when an engine is taken off new work until its order.
-    pub spread_ms: u64,
+    pub propagation_ms: u64,
     /// Gives the time after an unanswered or refused order until the next try.
-    pub retry_ms: u64,
+    pub retry_delay_ms: u64,
     /// Gives the time for which an engine that did not answer is left alone.
-    pub unanswered_ms: u64,
+    pub unanswered_delay_ms: u64,
     /// Gives the time for which a host that begins to lead gives no orders.
-    pub takeover_ms: u64,
+    pub takeover_delay_ms: u64,
 }
 
 impl Default for Policy {
@@ -60,16 +60,16 @@
     /// change within a third of a second.
     fn default() -> Self {
         Self {
-            least: 2,
-            load_ms: 1_900,
-            quiet_ms: 2_500,
-            read_ms: 150,
-            running: Running::Finish,
-            share: 20,
-            spread_ms: 350,
-            retry_ms: 500,
-            unanswered_ms: 2_000,
-            takeover_ms: 3_500,
+            min_concurrent: 2,
+            expected_load_ms: 1_900,
+            finish_wait_ms: 2_500,
+            read_interval_ms: 150,
+            in_flight_policy: InFlightPolicy::Finish,
+            share_percent: 20,
+            propagation_ms: 350,
+            retry_delay_ms: 500,
+            unanswered_delay_ms: 2_000,
+            takeover_delay_ms: 3_500,
         }
     }
 }
@@ -82,9 +82,9 @@
     /// Names the model.
     pub model: String,
     /// Counts the orders that the engine must have accepted before.
-    pub orders: u64,
+    pub expected_orders: u64,
     /// Tells what becomes of the requests that run.
-    pub running: Running,
+    pub in_flight_policy: InFlightPolicy,
     /// Gives the version of the weights.
     pub version: u64,
 }
@@ -109,7 +109,7 @@
     /// Tells whether it carries out an order.
     pub loading: bool,
     /// Counts the orders that it has accepted since its start.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// Counts the requests that run.
     pub running: u32,
     /// Gives the weights version of each of its models.
@@ -122,13 +122,13 @@
     /// Brings the answer to an order.
     Answered(String, Outcome),
     /// Tells that this host leads from now on.
-    Led,
+    LeadershipGained,
     /// Brings the upstreams of the platform's list.
     Listed(Vec<ListedUpstream>),
     /// Tells what all hosts have under way at engines.
-    Loaded(UpstreamLoads),
+    Loads(UpstreamLoads),
     /// Brings the newest weights versions.
-    Named(BTreeMap<String, u64>),
+    NewestVersions(BTreeMap<String, u64>),
     /// Brings what an engine says, or that it did not answer.
     Reported(String, Option<Report>),
     /// Lets time pass.
@@ -208,10 +208,10 @@
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
             Event::Answered(id, outcome) => self.answered(now, &id, outcome),
-            Event::Led => self.led(now),
+            Event::LeadershipGained => self.led(now),
             Event::Listed(seen) => self.listed(seen),
-            Event::Loaded(loads) => self.loads = loads,
-            Event::Named(named) => self.named = named,
+            Event::Loads(loads) => self.loads = loads,
+            Event::NewestVersions(named) => self.named = named,
             Event::Reported(id, report) => return self.reported(now, &id, report),
             Event::Tick => return self.tick(now),
         }
@@ -230,7 +230,7 @@
     }
 
     fn led(&mut self, now: Instant) {
-        self.orders_from = Some(now + self.policy.takeover_ms);
+        self.orders_from = Some(now + self.policy.takeover_delay_ms);
         for engine in self.engines.values_mut() {
             engine.phase = Phase::Settled;
         }
@@ -263,9 +263,9 @@
             return;
         };
         let wait = match outcome {
-            Outcome::Accepted => policy.load_ms,
+            Outcome::Accepted => policy.expected_load_ms,
             Outcome::Holds => 0,
-            Outcome::Refused | Outcome::Unknown => policy.retry_ms,
+            Outcome::Refused | Outcome::Unknown => policy.retry_delay_ms,
         };
         let next = now + wait;
         engine.phase = Phase::Loading { next, version };
@@ -279,7 +279,7 @@
         let Some(report) = report else {
             // An engine that does not answer must not keep others from their turn.
             engine.phase = Phase::Settled;
-            engine.not_before = now + policy.unanswered_ms;
+            engine.not_before = now + policy.unanswered_delay_ms;
             return Vec::new();
         };
         engine.note(&report.weights);
@@ -301,18 +301,18 @@
                     Phase::Loading { version, .. } => version,
                     _ => newest,
                 };
-                let next = now + policy.read_ms;
+                let next = now + policy.read_interval_ms;
                 engine.phase = Phase::Loading { next, version };
             }
             (_, Some((model, version))) => {
-                let next = now + policy.load_ms;
+                let next = now + policy.expected_load_ms;
                 engine.phase = Phase::Loading { next, version };
                 engine.ordered = now;
                 return vec![Effect::Order(Order {
                     id: id.to_owned(),
                     model,
-                    orders: report.orders,
-                    running: policy.running,
+                    expected_orders: report.accepted_orders,
+                    in_flight_policy: policy.in_flight_policy,
                     version,
                 })];
             }
@@ -332,9 +332,9 @@
             let due = match engine.phase {
                 Phase::Settled => continue,
                 Phase::Spreading { since } if self.loads.contains_key(&engine.seen.id) => {
-                    since + policy.quiet_ms
+                    since + policy.finish_wait_ms
                 }
-                Phase::Spreading { since } => since + policy.spread_ms,
+                Phase::Spreading { since } => since + policy.propagation_ms,
                 Phase::Reading { again } => again,
                 Phase::Loading { next, .. } => next,
             };
@@ -345,11 +345,11 @@
             room -= usize::from(waits);
             engine.phase = match engine.phase {
                 Phase::Loading { version, .. } => Phase::Loading {
-                    next: now + policy.read_ms,
+                    next: now + policy.read_interval_ms,
                     version,
                 },
                 _ => Phase::Reading {
-                    again: now + policy.retry_ms,
+                    again: now + policy.retry_delay_ms,
                 },
             };
             effects.push(Effect::Read(engine.seen.id.clone()));
@@ -360,7 +360,7 @@
     /// Returns how many engines may load at once.
     fn most(&self) -> usize {
         let stay = self.engines.values().filter(|engine| !engine.seen.leaving);
-        (stay.count() * self.policy.share / 100).max(self.policy.least)
+        (stay.count() * self.policy.share_percent / 100).max(self.policy.min_concurrent)
     }
 
     fn count(&self, is: impl Fn(Phase) -> bool) -> usize {
--- a/crates/coordination/tests/reload.rs
+++ b/crates/coordination/tests/reload.rs
@@ -55,7 +55,7 @@
             running: BTreeMap::new(),
         };
         test.list();
-        test.step(Event::Led);
+        test.step(Event::LeadershipGained);
         test
     }
 
@@ -76,7 +76,10 @@
     }
 
     fn name(mut self, version: u64) -> Self {
-        self.step(Event::Named(BTreeMap::from([(MODEL.to_owned(), version)])));
+        self.step(Event::NewestVersions(BTreeMap::from([(
+            MODEL.to_owned(),
+            version,
+        )])));
         self
     }
 
@@ -93,7 +96,7 @@
                     engine.loads = None;
                 }
             }
-            self.step(Event::Loaded(self.running.clone()));
+            self.step(Event::Loads(self.running.clone()));
             self.step(Event::Tick);
         }
         self
@@ -113,7 +116,7 @@
             let next = match effect {
                 Effect::Done { .. } => continue,
                 Effect::Order(order) => {
-                    let outcome = self.order(&order.id, order.orders, order.version);
+                    let outcome = self.order(&order.id, order.expected_orders, order.version);
                     Event::Answered(order.id, outcome)
                 }
                 Effect::Read(id) => {
@@ -140,7 +143,7 @@
         let engine = &self.engines[id];
         (!self.dark.iter().any(|dark| dark == id)).then(|| Report {
             loading: engine.loads.is_some(),
-            orders: engine.orders,
+            accepted_orders: engine.orders,
             running: 0,
             weights: BTreeMap::from([(MODEL.to_owned(), engine.version)]),
         })
@@ -181,7 +184,7 @@
 fn nobody_is_ordered_while_the_host_before_may_still_order() {
     let test = Test::new(4).name(2).pass(10_000);
     let first = test.orders()[0].0;
-    assert!(first >= Policy::default().takeover_ms, "{first}");
+    assert!(first >= Policy::default().takeover_delay_ms, "{first}");
 }
 
 #[test]
@@ -247,15 +250,15 @@
     };
     let report = || {
         Some(Report {
-            orders: 7,
+            accepted_orders: 7,
             weights: BTreeMap::from([(MODEL.to_owned(), 1)]),
             ..Report::default()
         })
     };
-    step(&mut reload, 0, Event::Led);
+    step(&mut reload, 0, Event::LeadershipGained);
     step(&mut reload, 0, Event::Listed(vec![seen("e", MODEL, 1)]));
     let named = BTreeMap::from([(MODEL.to_owned(), 2)]);
-    step(&mut reload, 0, Event::Named(named));
+    step(&mut reload, 0, Event::NewestVersions(named));
     step(&mut reload, 4_000, Event::Tick);
     assert_eq!(
         step(&mut reload, 400, Event::Tick),
@@ -273,7 +276,7 @@
     let Effect::Order(order) = &again[0] else {
         panic!("{again:?} is no order");
     };
-    assert_eq!(order.orders, 7);
+    assert_eq!(order.expected_orders, 7);
 }
 
 #[test]
--- a/crates/hibiscushoistd/src/steward.rs
+++ b/crates/hibiscushoistd/src/steward.rs
@@ -111,7 +111,7 @@
             steward.read_list().await;
         }
         let loads = steward.tally().total().clone();
-        steward.step(Event::Loaded(loads));
+        steward.step(Event::Loads(loads));
         steward.step(event);
         steward.show();
     }
@@ -129,7 +129,7 @@
             self.named.clear();
             self.number = 0;
             self.seen.clear();
-            self.step(Event::Led);
+            self.step(Event::LeadershipGained);
         }
         Some(reading)
     }
@@ -141,7 +141,7 @@
             let versions = self.named.entry(model.clone()).or_default();
             versions.entry(*version).or_insert(now);
         }
-        self.step(Event::Named(weights.clone()));
+        self.step(Event::NewestVersions(weights.clone()));
     }
 
     /// Returns the oldest version of each model that may still serve: the newest of those that were
@@ -251,7 +251,7 @@
                 "upstream" => order.id.clone(),
                 "model" => order.model.clone(),
                 "version" => order.version,
-                "orders" => order.orders,
+                "orders" => order.expected_orders,
                 "fence" => term,
                 "outcome" => <&str>::from(outcome),
             );
