--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -20,7 +20,7 @@
 use state::time::Instant;
 
 /// Bounds the time that an order or a read may take, in milliseconds.
-pub const CALL_LIMIT_MS: u64 = 2_000;
+pub const CALL_TIMEOUT_MS: u64 = 2_000;
 
 const BACKOFF_MS: u64 = 1_000;
 const BACKOFF_LIMIT_MS: u64 = 30_000;
@@ -40,7 +40,7 @@
     /// Means that the engine refused the order, which had no effect.
     Refused,
     /// Means that the engine has seen a later fencing number.
-    Stale,
+    StaleFence,
     /// Means that the outcome is unknown.
     Unanswered,
 }
@@ -92,7 +92,7 @@
     /// Has an engine asked what it serves.
     Read(String),
     /// Has operators told of a step.
-    Tell(Step, String),
+    Report(Step, String),
 }
 
 /// Names a step of a roll-out that operators are told of.
@@ -214,7 +214,7 @@
                     self.tell(Step::Refused, upstream);
                 }
             }
-            Reply::Stale => {
+            Reply::StaleFence => {
                 self.lease = None;
                 self.tell(Step::Lost, upstream);
             }
@@ -273,7 +273,7 @@
         let Some(lease) = self.lease else {
             return;
         };
-        if self.now + CALL_LIMIT_MS >= lease.until {
+        if self.now + CALL_TIMEOUT_MS >= lease.until {
             return;
         }
         let names: Vec<String> = self.desired.goals.keys().cloned().collect();
@@ -318,7 +318,7 @@
         if loads && !engine.stuck {
             engine.stuck = true;
             self.effects
-                .push(Effect::Tell(Step::Stuck, name.to_owned()));
+                .push(Effect::Report(Step::Stuck, name.to_owned()));
         }
         if engine.phase == Phase::Resting && now >= engine.next {
             engine.phase = Phase::Reading;
@@ -367,7 +367,7 @@
         let engine = self.engines.get(name)?;
         let standing = engine.standing.as_ref()?;
         let settled = match goal.checks_fence {
-            false => lease.since + 2 * CALL_LIMIT_MS,
+            false => lease.since + 2 * CALL_TIMEOUT_MS,
             true => lease.since,
         };
         let fresh = engine.at >= settled && self.now.since(engine.at) < READ_PERIOD_MS;
@@ -420,7 +420,7 @@
     }
 
     fn tell(&mut self, step: Step, upstream: &str) {
-        self.effects.push(Effect::Tell(step, upstream.to_owned()));
+        self.effects.push(Effect::Report(step, upstream.to_owned()));
     }
 }
 
--- a/crates/coordination/tests/rollout.rs
+++ b/crates/coordination/tests/rollout.rs
@@ -8,7 +8,7 @@
 
 use coordination::desired::Desired;
 use coordination::desired::Goal;
-use coordination::rollout::CALL_LIMIT_MS;
+use coordination::rollout::CALL_TIMEOUT_MS;
 use coordination::rollout::Effect;
 use coordination::rollout::Event;
 use coordination::rollout::Reply;
@@ -236,7 +236,7 @@
             let late = self.lossy && self.rng.random_bool(0.3);
             let delay = match late {
                 false => self.rng.random_range(1..50),
-                true => self.rng.random_range(50..CALL_LIMIT_MS),
+                true => self.rng.random_range(50..CALL_TIMEOUT_MS),
             };
             match effect {
                 Effect::Order {
@@ -252,7 +252,7 @@
                     let engine = upstream[1..].parse().unwrap();
                     self.schedule(delay, Delivery::Read(place, engine));
                 }
-                Effect::Tell(step, upstream) => self.told.push((step, upstream)),
+                Effect::Report(step, upstream) => self.told.push((step, upstream)),
             }
         }
     }
@@ -294,7 +294,7 @@
         let now = self.now;
         let engine = &mut self.engines[place];
         if engine.checks_fence && fence < engine.fence {
-            return Reply::Stale;
+            return Reply::StaleFence;
         }
         if engine.refuses {
             return Reply::Refused;
@@ -529,12 +529,12 @@
                     });
                     controller.step(Instant(now), Event::Read { standing, upstream });
                 }
-                Effect::Tell(..) => {}
+                Effect::Report(..) => {}
             }
         }
     }
-    assert!(first["checks"] < 1_000 + CALL_LIMIT_MS);
-    assert!(first["trusts"] >= 1_000 + 2 * CALL_LIMIT_MS);
+    assert!(first["checks"] < 1_000 + CALL_TIMEOUT_MS);
+    assert!(first["trusts"] >= 1_000 + 2 * CALL_TIMEOUT_MS);
 }
 
 #[test]
@@ -552,10 +552,10 @@
     controller.step(Instant(1), leased);
     controller.step(Instant(100), Event::Tick);
     let stale = Event::Ordered {
-        reply: Reply::Stale,
+        reply: Reply::StaleFence,
         upstream: name(0),
     };
-    let lost = Effect::Tell(Step::Lost, name(0));
+    let lost = Effect::Report(Step::Lost, name(0));
     assert_eq!(controller.step(Instant(200), stale), [lost]);
     assert_eq!(controller.step(Instant(10_000), Event::Tick), []);
 }
@@ -568,7 +568,7 @@
     controller.step(Instant(1), table);
     let until = Instant(10_000);
     controller.step(Instant(1), Event::Leased { fence: 1, until });
-    let early = controller.step(Instant(10_000 - CALL_LIMIT_MS - 1), Event::Tick);
+    let early = controller.step(Instant(10_000 - CALL_TIMEOUT_MS - 1), Event::Tick);
     assert_eq!(early.len(), ENGINES);
     for upstream in (0..ENGINES).map(name) {
         let standing = Some(Standing {
@@ -576,11 +576,11 @@
             version: "v1".to_owned(),
             ..Standing::default()
         });
-        let now = Instant(10_000 - CALL_LIMIT_MS - 1);
+        let now = Instant(10_000 - CALL_TIMEOUT_MS - 1);
         controller.step(now, Event::Read { standing, upstream });
     }
     assert_eq!(
-        controller.step(Instant(10_000 - CALL_LIMIT_MS), Event::Tick),
+        controller.step(Instant(10_000 - CALL_TIMEOUT_MS), Event::Tick),
         []
     );
 }
--- a/crates/hibiscushoistd/src/controller.rs
+++ b/crates/hibiscushoistd/src/controller.rs
@@ -35,7 +35,7 @@
 const LEASE_MS: u64 = 10_000;
 const LEASE_PERIOD: Duration = Duration::from_millis(3_000);
 const ORDER_LIMIT: Duration = Duration::from_secs(60);
-const READ_LIMIT: Duration = Duration::from_millis(rollout::CALL_LIMIT_MS);
+const READ_LIMIT: Duration = Duration::from_millis(rollout::CALL_TIMEOUT_MS);
 const RING_EVENTS: usize = 1_024;
 const TICK: Duration = Duration::from_millis(100);
 
@@ -100,7 +100,7 @@
                     self.order(upstream, engine::Order { action, fence, id });
                 }
                 Effect::Read(upstream) => self.read(upstream),
-                Effect::Tell(step, upstream) => self.tell(step, upstream),
+                Effect::Report(step, upstream) => self.tell(step, upstream),
             }
         }
     }
@@ -189,7 +189,9 @@
 
 fn reply(answer: &Result<engine::Standing, Error>) -> Reply {
     match answer {
-        Err(Error::Refused { refusal, .. }) if refusal.code == Code::StaleFence => Reply::Stale,
+        Err(Error::Refused { refusal, .. }) if refusal.code == Code::StaleFence => {
+            Reply::StaleFence
+        }
         Err(Error::Refused { .. }) => Reply::Refused,
         Err(_) => Reply::Unanswered,
         Ok(_) => Reply::Accepted,
