--- a/crates/coordination/src/raft_settings.rs
+++ b/crates/coordination/src/raft_settings.rs
@@ -9,7 +9,7 @@
     pub(crate) election_jitter_ms: u64,
     pub(crate) heartbeat_interval_ms: u64,
     pub(crate) max_chunk_bytes: usize,
-    pub(crate) max_in_flight: usize,
+    pub(crate) send_window: usize,
 }
 
 impl Default for Settings {
@@ -21,7 +21,7 @@
             election_jitter_ms: 500,
             heartbeat_interval_ms: 150,
             max_chunk_bytes: 256 * 1024,
-            max_in_flight: 16,
+            send_window: 16,
         }
     }
 }
@@ -76,9 +76,9 @@
 
     /// Sets how many batches may be under way to one member.
     #[must_use]
-    pub fn max_in_flight(self, max_in_flight: usize) -> Self {
+    pub fn send_window(self, send_window: usize) -> Self {
         Self {
-            max_in_flight,
+            send_window,
             ..self
         }
     }
