--- a/crates/coordination/examples/measure/engine.rs
+++ b/crates/coordination/examples/measure/engine.rs
@@ -5,7 +5,7 @@
 
 use crate::cache::Cache;
 use crate::work::BLOCK_TOKENS;
-use coordination::report::Sample;
+use coordination::report::LoadReport;
 use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
@@ -132,7 +132,7 @@
     }
 
     /// Returns a load report.
-    pub fn sample(&self, age_ms: u64) -> Sample {
+    pub fn sample(&self, age_ms: u64) -> LoadReport {
         let running = self.running.iter().map(|run| (run.job.priority, run.left));
         let tokens = |job: &Job| {
             let missing = job.blocks.len() as u32 - self.cache.depth(&job.blocks);
@@ -143,14 +143,14 @@
         for (rank, tokens) in running.chain(waiting) {
             sums[rank.index()] += u64::from(tokens);
         }
-        Sample {
+        LoadReport {
             age_ms,
-            background_tokens: sums[Rank::Background.index()],
+            queued_background_tokens: sums[Rank::Background.index()],
             incarnation: Incarnation(self.incarnation),
             prefill_rate: PREFILL_RATE,
             running: (self.running.len() + self.waiting.len()) as u32,
             slots: SLOTS as u32,
-            urgent_tokens: sums[Rank::Urgent.index()],
+            queued_urgent_tokens: sums[Rank::Urgent.index()],
             version: "v1".to_owned(),
         }
     }
--- a/crates/coordination/examples/measure/run.rs
+++ b/crates/coordination/examples/measure/run.rs
@@ -27,7 +27,7 @@
 use coordination::capacity::Standing;
 use coordination::placement_request::PlacementId;
 use coordination::report::Progress;
-use coordination::report::Report;
+use coordination::report::ProgressReport;
 use state::directory::Batch;
 use state::directory::Change;
 use state::directory::Snapshot;
@@ -74,7 +74,7 @@
     Publish,
     Push(usize, usize, u32, Rank),
     Recover(usize),
-    Sample(usize, coordination::report::Sample),
+    Sample(usize, coordination::report::LoadReport),
     Sampling,
     Snapshot(usize, Snapshot),
     Step(usize, u64),
@@ -201,7 +201,7 @@
             What::Crash(engine) => self.crash(engine),
             What::Deadline(at) => self.give_up(at),
             What::Done(_, placement_id, progress) => {
-                self.tell(Event::Report(Report {
+                self.tell(Event::Report(ProgressReport {
                     progress,
                     placement_id,
                 }));
@@ -214,9 +214,9 @@
                 self.sequence[engine] = 0;
                 self.after(VERDICT_US, What::Verdict(engine, true));
             }
-            What::Sample(engine, sample) => {
+            What::Sample(engine, report) => {
                 let upstream = router::engine(engine);
-                self.tell(Event::Load { sample, upstream });
+                self.tell(Event::Load { report, upstream });
             }
             What::Sampling => self.sampling(),
             What::Snapshot(engine, snapshot) => {
--- a/crates/coordination/examples/measure/size.rs
+++ b/crates/coordination/examples/measure/size.rs
@@ -11,7 +11,7 @@
 use coordination::placement_request::PlacementId;
 use coordination::placement_request::PlacementRequest;
 use coordination::report::Progress;
-use coordination::report::Report;
+use coordination::report::ProgressReport;
 use state::directory::Batch;
 use state::directory::Change;
 use state::directory::Directory;
@@ -74,9 +74,9 @@
     };
     let mut router = Router::new(Policy::Broker, &deployment);
     for index in 0..deployment.engines {
-        let sample = Engine::new(1).sample(0);
+        let report = Engine::new(1).sample(0);
         let upstream = router::engine(index);
-        router.step(0, Event::Load { sample, upstream });
+        router.step(0, Event::Load { report, upstream });
     }
     let root = BlockHash::root("w0", "m", "v1");
     let start = Instant::now();
@@ -100,7 +100,7 @@
         for progress in [Progress::FirstToken, Progress::Finished] {
             router.step(
                 now,
-                Event::Report(Report {
+                Event::Report(ProgressReport {
                     progress,
                     placement_id,
                 }),
--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -25,10 +25,10 @@
 use crate::pool::Pool;
 use crate::pool::Promised;
 use crate::pool::Proposal;
-pub use crate::report::Held;
+pub use crate::report::InFlightRequest;
+use crate::report::LoadReport;
 use crate::report::Progress;
-pub use crate::report::Report;
-use crate::report::Sample;
+pub use crate::report::ProgressReport;
 use state::directory;
 use state::directory::Batch;
 use state::directory::Directory;
@@ -61,16 +61,16 @@
     /// Means that the caller of a request left before it was placed.
     Cancel(PlacementId),
     /// Reports a request again that an earlier owner placed.
-    Held(Held),
+    InFlight(InFlightRequest),
     /// Brings a load report.
     Load {
         /// Holds the report.
-        sample: Sample,
+        report: LoadReport,
         /// Names the upstream.
         upstream: String,
     },
     /// Reports on a granted request.
-    Report(Report),
+    Report(ProgressReport),
     /// Sets the part of each fleet-wide limit that this broker may use, in thousandths.
     Share(u64),
     /// Brings the whole content of an upstream's cache.
@@ -149,7 +149,7 @@
     }
 
     /// Returns how many placed requests have not ended.
-    pub fn held(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.held.len()
     }
 
@@ -174,8 +174,8 @@
                 return effects;
             }
             Event::Cancel(placement_id) => self.cancel(placement_id, now),
-            Event::Held(held) => self.hold_again(held, now),
-            Event::Load { sample, upstream } => self.load(sample, &upstream, now, &mut effects),
+            Event::InFlight(held) => self.hold_again(held, now),
+            Event::Load { report, upstream } => self.load(report, &upstream, now, &mut effects),
             Event::Report(report) => self.report(report, now, &mut effects),
             Event::Share(thousandths) => self.admission.share(thousandths),
             Event::Snapshot { snapshot, upstream } => {
@@ -266,16 +266,20 @@
         }
     }
 
-    fn hold_again(&mut self, held: Held, now: Instant) {
+    fn hold_again(&mut self, held: InFlightRequest, now: Instant) {
         let Some(slot) = self.pool.slot(&held.upstream) else {
             return;
         };
-        let Held { ask, started, .. } = held;
+        let InFlightRequest {
+            request: ask,
+            prefilled,
+            ..
+        } = held;
         if self.held.contains_key(&ask.placement_id) {
             return;
         }
         let mut work = self.pool.begin(slot, 0, ask.rank, ask.rank, now);
-        if started {
+        if prefilled {
             self.pool.start(slot, &mut work, now);
         }
         self.admission.count(&ask);
@@ -288,7 +292,13 @@
         self.held.insert(held.ask.placement_id, held);
     }
 
-    fn load(&mut self, sample: Sample, upstream: &str, now: Instant, effects: &mut Vec<Effect>) {
+    fn load(
+        &mut self,
+        sample: LoadReport,
+        upstream: &str,
+        now: Instant,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(slot) = self.pool.slot(upstream) else {
             return;
         };
@@ -379,7 +389,7 @@
         self.held.insert(held.ask.placement_id, held);
     }
 
-    fn report(&mut self, report: Report, now: Instant, effects: &mut Vec<Effect>) {
+    fn report(&mut self, report: ProgressReport, now: Instant, effects: &mut Vec<Effect>) {
         match report.progress {
             Progress::Failed => {
                 if let Some(held) = self.held.get(&report.placement_id) {
--- a/crates/coordination/src/capacity.rs
+++ b/crates/coordination/src/capacity.rs
@@ -3,7 +3,7 @@
 //! Reported load lags, so the work that the broker itself sent since the report is added to it.
 //! Requests that two reports in a row show beyond the broker's own were sent by others.
 
-use crate::report::Sample;
+use crate::report::LoadReport;
 use state::ident::Incarnation;
 use state::rank::Rank;
 use state::time::Instant;
@@ -116,7 +116,7 @@
     limit: Option<u32>,
     measured: Instant,
     progress: Instant,
-    sample: Option<Sample>,
+    sample: Option<LoadReport>,
     service_ms: Option<u64>,
 }
 
@@ -175,7 +175,7 @@
     }
 
     /// Takes in a load report.
-    pub fn measure(&mut self, sample: Sample, now: Instant) {
+    pub fn measure(&mut self, sample: LoadReport, now: Instant) {
         let measured = Instant(now.0.saturating_sub(sample.age_ms));
         if measured < self.measured {
             return;
@@ -301,8 +301,8 @@
         let done = self.computed(now.since(self.progress)).min(mean);
         let own = load.tokens - done;
         let reported = self.sample.as_ref().map_or(0, |sample| match rank {
-            Rank::Background => sample.background_tokens,
-            Rank::Urgent => sample.urgent_tokens,
+            Rank::Background => sample.queued_background_tokens,
+            Rank::Urgent => sample.queued_urgent_tokens,
         });
         let left = (reported + load.recent).saturating_sub(self.computed(now.since(self.measured)));
         own.max(left.min(reported + load.tokens))
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -17,7 +17,7 @@
 use crate::placement::Demand;
 use crate::placement::Rating;
 use crate::placement_request::PlacementRequest;
-use crate::report::Sample;
+use crate::report::LoadReport;
 use state::column::Column;
 use state::directory::Directory;
 use state::directory::Residency;
@@ -210,7 +210,7 @@
     }
 
     /// Takes in a load report and returns whether it opens a new run of the upstream.
-    pub fn measure(&mut self, slot: Slot, sample: Sample, now: Instant) -> bool {
+    pub fn measure(&mut self, slot: Slot, sample: LoadReport, now: Instant) -> bool {
         let upstream = self.at_mut(slot);
         if upstream.incarnation.is_some_and(|i| sample.incarnation < i) {
             return false;
--- a/crates/coordination/src/report.rs
+++ b/crates/coordination/src/report.rs
@@ -20,18 +20,18 @@
 
 /// Describes a request that an earlier owner of its upstream placed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Held {
+pub struct InFlightRequest {
     /// Holds the ask.
-    pub ask: PlacementRequest,
+    pub request: PlacementRequest,
     /// Tells whether its first token arrived.
-    pub started: bool,
+    pub prefilled: bool,
     /// Names the upstream.
     pub upstream: String,
 }
 
 /// Reports on a granted request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Report {
+pub struct ProgressReport {
     /// Tells how far the request has come.
     pub progress: Progress,
     /// Identifies the placement.
@@ -40,11 +40,11 @@
 
 /// Describes the load of an upstream at one moment.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Sample {
+pub struct LoadReport {
     /// Gives the age of the sample on arrival, in milliseconds.
     pub age_ms: u64,
     /// Gives the prompt tokens of background work that wait to be computed.
-    pub background_tokens: u64,
+    pub queued_background_tokens: u64,
     /// Identifies the run of the upstream.
     pub incarnation: Incarnation,
     /// Gives the prompt tokens that the upstream computes in a second.
@@ -54,7 +54,7 @@
     /// Gives the requests that the upstream runs at once.
     pub slots: u32,
     /// Gives the prompt tokens of urgent work that wait to be computed.
-    pub urgent_tokens: u64,
+    pub queued_urgent_tokens: u64,
     /// Names the weights version that the upstream serves.
     pub version: String,
 }
--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -213,13 +213,16 @@
     desk.ask(ask(1, Rank::Background, "maps", "c", 9));
     desk.ask(ask(2, Rank::Background, "maps", "c", 9));
     assert_eq!(
-        (desk.broker.held(), desk.broker.queued(Rank::Background)),
+        (
+            desk.broker.in_flight(),
+            desk.broker.queued(Rank::Background)
+        ),
         (1, 1)
     );
     desk.step(Event::Cancel(PlacementId(2)));
     assert_eq!(desk.broker.queued(Rank::Background), 0);
     desk.step(Event::Cancel(PlacementId(1)));
-    assert_eq!(desk.broker.held(), 0);
+    assert_eq!(desk.broker.in_flight(), 0);
     let effects = desk.ask(ask(3, Rank::Background, "maps", "c", 9));
     assert_eq!(grants(&effects).len(), 1);
 }
--- a/crates/coordination/tests/broker.rs
+++ b/crates/coordination/tests/broker.rs
@@ -8,7 +8,7 @@
 use coordination::capacity::Bound;
 use coordination::capacity::Standing;
 use coordination::placement_request::PlacementId;
-use coordination::report::Held;
+use coordination::report::InFlightRequest;
 use coordination::report::Progress;
 use state::column::Column;
 use state::directory::Snapshot;
@@ -28,7 +28,7 @@
     let first = grants(&desk.ask(ask(1, Rank::Urgent, "maps", "c", 1)));
     let second = grants(&desk.ask(ask(1, Rank::Urgent, "maps", "c", 1)));
     assert_eq!(first, second);
-    assert_eq!(desk.broker.held(), 1);
+    assert_eq!(desk.broker.in_flight(), 1);
 }
 
 #[test]
@@ -36,9 +36,9 @@
     let mut desk = Desk::new(&["a"]);
     desk.workspace("maps", &[(Column::Limit, "8")]);
     for serial in 0..u128::from(SLOTS) {
-        desk.step(Event::Held(Held {
-            ask: ask(serial, Rank::Urgent, "maps", "c", 1),
-            started: true,
+        desk.step(Event::InFlight(InFlightRequest {
+            request: ask(serial, Rank::Urgent, "maps", "c", 1),
+            prefilled: true,
             upstream: "a".to_owned(),
         }));
     }
@@ -92,7 +92,7 @@
     for serial in 0..u128::from(SLOTS) {
         desk.report(PlacementId(serial), Progress::Failed);
     }
-    assert_eq!(desk.broker.held(), 1);
+    assert_eq!(desk.broker.in_flight(), 1);
 }
 
 #[test]
@@ -108,7 +108,7 @@
     let mut desk = Desk::new(&["a"]);
     desk.ask(ask(1, Rank::Urgent, "maps", "c", 0));
     desk.tick(600_000);
-    assert_eq!(desk.broker.held(), 0);
+    assert_eq!(desk.broker.in_flight(), 0);
 }
 
 #[test]
@@ -156,7 +156,7 @@
             let workspace = format!("w{serial}");
             desk.ask(ask(serial, Rank::Urgent, &workspace, "c", 0));
         }
-        assert_eq!(desk.broker.held(), expected, "{limit:?}");
+        assert_eq!(desk.broker.in_flight(), expected, "{limit:?}");
     }
 }
 
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -13,9 +13,9 @@
 use coordination::capacity::Standing;
 use coordination::placement_request::PlacementId;
 use coordination::placement_request::PlacementRequest;
+use coordination::report::LoadReport;
 use coordination::report::Progress;
-use coordination::report::Report;
-use coordination::report::Sample;
+use coordination::report::ProgressReport;
 use state::column::Column;
 use state::directory::Batch;
 use state::directory::Change;
@@ -121,14 +121,14 @@
         running: u32,
     ) -> Vec<Effect> {
         self.step(Event::Load {
-            sample: Sample {
+            report: LoadReport {
                 age_ms: 0,
-                background_tokens: 0,
+                queued_background_tokens: 0,
                 incarnation: Incarnation(incarnation),
                 prefill_rate: RATE,
                 running,
                 slots: SLOTS,
-                urgent_tokens: 0,
+                queued_urgent_tokens: 0,
                 version: version.to_owned(),
             },
             upstream: upstream.to_owned(),
@@ -165,7 +165,7 @@
     }
 
     pub fn report(&mut self, placement_id: PlacementId, progress: Progress) -> Vec<Effect> {
-        self.step(Event::Report(Report {
+        self.step(Event::Report(ProgressReport {
             progress,
             placement_id,
         }))
--- a/crates/hibiscushoistd/examples/role_slopes.rs
+++ b/crates/hibiscushoistd/examples/role_slopes.rs
@@ -13,12 +13,12 @@
 use coordination::broker::Event;
 use coordination::broker::PlacementId;
 use coordination::broker::PlacementRequest;
-use coordination::broker::Report;
+use coordination::broker::ProgressReport;
 use coordination::machine::Answer;
 use coordination::machine::Command;
 use coordination::machine::Machine;
+use coordination::report::LoadReport;
 use coordination::report::Progress;
-use coordination::report::Sample;
 use protocol::engine;
 use state::column::Column;
 use state::directory::Batch;
@@ -90,7 +90,7 @@
             let placement_id = PlacementId(u128::from(number));
             broker.step(
                 now,
-                Event::Report(Report {
+                Event::Report(ProgressReport {
                     progress,
                     placement_id,
                 }),
@@ -281,14 +281,14 @@
 
 fn load(upstream: u64) -> Event {
     Event::Load {
-        sample: Sample {
+        report: LoadReport {
             age_ms: 0,
-            background_tokens: 0,
+            queued_background_tokens: 0,
             incarnation: Incarnation(1),
             prefill_rate: 10_000_000,
             running: 0,
             slots: 64,
-            urgent_tokens: 0,
+            queued_urgent_tokens: 0,
             version: "v1".to_owned(),
         },
         upstream: format!("u{upstream}"),
--- a/crates/hibiscushoistd/src/attempt.rs
+++ b/crates/hibiscushoistd/src/attempt.rs
@@ -11,7 +11,7 @@
 use crate::job::Job;
 use crate::suspects::Pass;
 use coordination::broker::Grant;
-use coordination::broker::Report;
+use coordination::broker::ProgressReport;
 use coordination::report::Progress;
 use coordination::retry::Reason;
 use coordination::stream::Assembler;
@@ -220,7 +220,7 @@
     async fn pass_on(&mut self, text: String) -> bool {
         if self.started.is_none() {
             self.started = Some(transport::clock::wall_millis());
-            let _ = self.context.broker.settle(Report {
+            let _ = self.context.broker.settle(ProgressReport {
                 progress: Progress::FirstToken,
                 placement_id: self.grant.placement_id,
             });
--- a/crates/hibiscushoistd/src/broker.rs
+++ b/crates/hibiscushoistd/src/broker.rs
@@ -23,7 +23,7 @@
 use coordination::broker::Grant;
 use coordination::broker::PlacementId;
 use coordination::broker::PlacementRequest;
-use coordination::broker::Report;
+use coordination::broker::ProgressReport;
 use coordination::capacity::Bound;
 use coordination::shard;
 use coordination::view::View;
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// Returns an error when the ring is full; the broker then forgets the request by age.
-    pub fn settle(&self, report: Report) -> Result<(), ring::Error> {
+    pub fn settle(&self, report: ProgressReport) -> Result<(), ring::Error> {
         match self.owners.settle(report) {
             None => Ok(()),
             Some(part) => self.send(part, Event::Report(report)),
@@ -148,7 +148,7 @@
                 let _ = self.send(part, Event::Report(report));
             }
             for held in moved.held {
-                let _ = self.feed(Event::Held(held));
+                let _ = self.feed(Event::InFlight(held));
             }
             let changed = tokio::select! {
                 changed = view.changed() => changed,
--- a/crates/hibiscushoistd/src/feed.rs
+++ b/crates/hibiscushoistd/src/feed.rs
@@ -19,7 +19,7 @@
 use coordination::liveness::Signal;
 use coordination::liveness::Standing;
 use coordination::liveness::Tracker;
-use coordination::report::Sample;
+use coordination::report::LoadReport;
 use protocol::engine;
 use protocol::platform;
 use state::column::Column;
@@ -181,7 +181,7 @@
             leaving: false,
         });
         self.tell(Event::Load {
-            sample: sample(load),
+            report: sample(load),
             upstream: self.upstream.clone(),
         });
         self.context.health.observe(&self.upstream, incarnation);
@@ -294,16 +294,16 @@
     }
 }
 
-fn sample(load: engine::Load) -> Sample {
+fn sample(load: engine::Load) -> LoadReport {
     let narrow = |number: u64| u32::try_from(number).unwrap_or(u32::MAX);
-    Sample {
+    LoadReport {
         age_ms: load.age_ms,
-        background_tokens: load.queued_background_tokens,
+        queued_background_tokens: load.queued_background_tokens,
         incarnation: load.incarnation,
         prefill_rate: narrow(load.prefill_rate),
         running: narrow(load.running + load.waiting),
         slots: narrow(load.slots),
-        urgent_tokens: load.queued_urgent_tokens,
+        queued_urgent_tokens: load.queued_urgent_tokens,
         version: load.version,
     }
 }
--- a/crates/hibiscushoistd/src/owner.rs
+++ b/crates/hibiscushoistd/src/owner.rs
@@ -16,10 +16,10 @@
 use crate::pool::Pool;
 use coordination::admission::Refusal;
 use coordination::broker::Grant;
-use coordination::broker::Held;
+use coordination::broker::InFlightRequest;
 use coordination::broker::PlacementId;
 use coordination::broker::PlacementRequest;
-use coordination::broker::Report;
+use coordination::broker::ProgressReport;
 use coordination::report::Progress;
 use coordination::shard;
 use coordination::view::View;
@@ -61,13 +61,13 @@
 #[derive(Debug, Default)]
 pub struct Moved {
     /// Lists requests on upstreams that this host owns now.
-    pub held: Vec<Held>,
+    pub held: Vec<InFlightRequest>,
     /// Lists reports that free the places of requests at the brokers that no longer hold them.
-    pub released: Vec<(Part, Report)>,
+    pub released: Vec<(Part, ProgressReport)>,
 }
 
 struct Placed {
-    held: Held,
+    held: InFlightRequest,
     owner: Owner,
 }
 
@@ -148,10 +148,10 @@
     }
 
     /// Remembers a grant until its request ends.
-    pub fn remember(&self, ask: PlacementRequest, grant: &Grant, owner: Owner) {
-        let held = Held {
-            ask,
-            started: false,
+    pub fn remember(&self, request: PlacementRequest, grant: &Grant, owner: Owner) {
+        let held = InFlightRequest {
+            request,
+            prefilled: false,
             upstream: grant.upstream.clone(),
         };
         let placed = Placed { held, owner };
@@ -159,13 +159,13 @@
     }
 
     /// Passes a report to the owner on another host, or returns the broker of this host.
-    pub fn settle(&self, report: Report) -> Option<Part> {
+    pub fn settle(&self, report: ProgressReport) -> Option<Part> {
         let owner = {
             let mut placed = self.placed();
             let entry = placed.get_mut(&report.placement_id)?;
             let owner = entry.owner.clone();
             match report.progress {
-                Progress::FirstToken => entry.held.started = true,
+                Progress::FirstToken => entry.held.prefilled = true,
                 Progress::Failed | Progress::Finished => {
                     placed.remove(&report.placement_id);
                 }
@@ -194,7 +194,7 @@
                 continue;
             }
             let progress = Progress::Finished;
-            let report = Report {
+            let report = ProgressReport {
                 progress,
                 placement_id: *placement_id,
             };
@@ -227,7 +227,7 @@
         Some(pool.client(address, Some(host.to_owned())))
     }
 
-    fn hold(&self, host: String, held: Held) {
+    fn hold(&self, host: String, held: InFlightRequest) {
         let Some(client) = self.client(&host) else {
             return;
         };
@@ -274,7 +274,7 @@
         placed.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, host: String, report: Report) {
+    fn tell(&self, host: String, report: ProgressReport) {
         let Some(client) = self.client(&host) else {
             return;
         };
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -24,8 +24,8 @@
 use coordination::assignment::Desk;
 use coordination::broker;
 use coordination::broker::Grant;
-use coordination::broker::Held;
-use coordination::broker::Report;
+use coordination::broker::InFlightRequest;
+use coordination::broker::ProgressReport;
 use coordination::bulletin::Bulletin;
 use coordination::choice;
 use coordination::choice::Choice;
@@ -133,12 +133,12 @@
         }
     }
 
-    async fn settle(self, _: Context, report: Report) {
+    async fn settle(self, _: Context, report: ProgressReport) {
         let _ = self.broker.feed(broker::Event::Report(report));
     }
 
-    async fn hold(self, _: Context, held: Held) {
-        let _ = self.broker.feed(broker::Event::Held(held));
+    async fn hold(self, _: Context, held: InFlightRequest) {
+        let _ = self.broker.feed(broker::Event::InFlight(held));
     }
 
     async fn outlook(self, _: Context, ask: outlook::Ask) -> Result<Outlook, Rejection> {
--- a/crates/hibiscushoistd/src/stream.rs
+++ b/crates/hibiscushoistd/src/stream.rs
@@ -21,7 +21,7 @@
 use coordination::admission;
 use coordination::broker::Grant;
 use coordination::broker::PlacementId;
-use coordination::broker::Report;
+use coordination::broker::ProgressReport;
 use coordination::quarantine;
 use coordination::quarantine::Outcome;
 use coordination::quarantine::Verdict;
@@ -373,7 +373,7 @@
     }
 
     fn report(&self, grant: &Grant, progress: Progress) {
-        let _ = self.context.broker.settle(Report {
+        let _ = self.context.broker.settle(ProgressReport {
             progress,
             placement_id: grant.placement_id,
         });
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -13,8 +13,8 @@
 use coordination::assignment;
 use coordination::broker;
 use coordination::broker::Grant;
-use coordination::broker::Held;
-use coordination::broker::Report;
+use coordination::broker::InFlightRequest;
+use coordination::broker::ProgressReport;
 use coordination::choice;
 use coordination::choice::Choice;
 use coordination::gossip::Message;
@@ -55,9 +55,9 @@
     /// Asks for a place on an upstream that the host owns, and waits for it.
     async fn place(ask: broker::PlacementRequest) -> Result<Box<Grant>, Refusal>;
     /// Tells the owner of an upstream how far a granted request has come.
-    async fn settle(report: Report);
+    async fn settle(report: ProgressReport);
     /// Reports a request again to the new owner of its upstream.
-    async fn hold(held: Held);
+    async fn hold(held: InFlightRequest);
     /// Tells what a host that serves callers lacks; only the voter that leads can.
     async fn outlook(ask: outlook::Ask) -> Result<Outlook, Rejection>;
     /// Returns the operator's text of the routed table; only the voter that leads can.
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -20,8 +20,8 @@
 use coordination::assignment;
 use coordination::broker;
 use coordination::broker::Grant;
-use coordination::broker::Held;
-use coordination::broker::Report;
+use coordination::broker::InFlightRequest;
+use coordination::broker::ProgressReport;
 use coordination::choice;
 use coordination::choice::Choice;
 use coordination::gossip::Body;
@@ -111,9 +111,9 @@
         })
     }
 
-    async fn settle(self, _: Context, _: Report) {}
+    async fn settle(self, _: Context, _: ProgressReport) {}
 
-    async fn hold(self, _: Context, _: Held) {}
+    async fn hold(self, _: Context, _: InFlightRequest) {}
 
     async fn outlook(self, _: Context, _: outlook::Ask) -> Result<Outlook, Rejection> {
         Err(Rejection::Ended)
