--- a/crates/coordination/src/raft_leader.rs
+++ b/crates/coordination/src/raft_leader.rs
@@ -254,9 +254,7 @@
         match progress.mode {
             Mode::Probe { in_flight: true } | Mode::Snapshot { .. } => return None,
             Mode::Replicate if progress.next_index > last => return None,
-            Mode::Replicate if progress.in_flight.len() >= self.settings.send_window => {
-                return None;
-            }
+            Mode::Replicate if progress.in_flight.len() >= self.settings.window => return None,
             Mode::Probe { .. } | Mode::Replicate => {}
         }
         let index = progress.next_index - 1;
--- a/crates/coordination/src/raft_settings.rs
+++ b/crates/coordination/src/raft_settings.rs
@@ -9,7 +9,7 @@
     pub(crate) election_jitter_ms: u64,
     pub(crate) heartbeat_interval_ms: u64,
     pub(crate) max_chunk_bytes: usize,
-    pub(crate) send_window: usize,
+    pub(crate) window: usize,
 }
 
 impl Default for Settings {
@@ -21,7 +21,7 @@
             election_jitter_ms: 500,
             heartbeat_interval_ms: 150,
             max_chunk_bytes: 256 * 1024,
-            send_window: 16,
+            window: 16,
         }
     }
 }
@@ -76,10 +76,7 @@
 
     /// Sets how many batches may be under way to one member.
     #[must_use]
-    pub fn send_window(self, send_window: usize) -> Self {
-        Self {
-            send_window,
-            ..self
-        }
+    pub fn window(self, window: usize) -> Self {
+        Self { window, ..self }
     }
 }
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -201,7 +201,7 @@
             .election_timeout_ms(200, 200)
             .heartbeat_interval_ms(40)
             .max_chunk_bytes(200)
-            .send_window(3);
+            .window(3);
         let recovered = host.disk.synced.clone();
         host.applied = recovered.snapshot.meta.position.index;
         host.compacted = host.applied;
