--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -5,7 +5,7 @@
 mod raft_election;
 mod raft_follower;
 mod raft_leader;
-mod raft_leadership;
+mod raft_leader_state;
 
 pub mod addresses;
 pub mod admission;
--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -29,7 +29,7 @@
 use crate::raft_entry::Recovered;
 use crate::raft_entry::Snapshot;
 use crate::raft_entry::SnapshotMeta;
-use crate::raft_leadership::Leader;
+use crate::raft_leader_state::LeaderState;
 use crate::raft_log::Log;
 use crate::raft_message::Body;
 use crate::raft_message::Envelope;
@@ -118,7 +118,7 @@
 pub(crate) enum State {
     Candidate(BTreeSet<MemberId>),
     Follower(Option<MemberId>),
-    Leader(Box<Leader>),
+    Leader(Box<LeaderState>),
     PreCandidate(BTreeSet<MemberId>),
 }
 
@@ -132,7 +132,7 @@
 #[derive(Debug)]
 pub struct Raft {
     pub(crate) applied: u64,
-    pub(crate) commit: u64,
+    pub(crate) commit_index: u64,
     pub(crate) effects: Vec<Effect>,
     pub(crate) election_due: Instant,
     pub(crate) hard_state: HardState,
@@ -167,7 +167,7 @@
         let start = recovered.snapshot.meta.position.index;
         let mut raft = Self {
             applied: start,
-            commit: start,
+            commit_index: start,
             effects: Vec::new(),
             election_due: now,
             hard_state: recovered.hard_state,
@@ -213,8 +213,8 @@
     }
 
     /// Returns the index of the last committed entry known here.
-    pub fn commit(&self) -> u64 {
-        self.commit
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
     }
 
     /// Returns the members.
@@ -223,7 +223,7 @@
     }
 
     /// Returns when to tick next.
-    pub fn due(&self) -> Instant {
+    pub fn next_tick(&self) -> Instant {
         match &self.state {
             State::Leader(leader) => leader.heartbeat_due,
             State::Candidate(_) | State::Follower(_) | State::PreCandidate(_) => self.election_due,
@@ -236,8 +236,8 @@
     }
 
     /// Returns the place of the last entry.
-    pub fn last(&self) -> Position {
-        self.log.last()
+    pub fn last_position(&self) -> Position {
+        self.log.last_position()
     }
 
     /// Returns the leader, when it is known.
@@ -278,9 +278,9 @@
     }
 
     pub(crate) fn apply(&mut self) {
-        if self.commit > self.applied {
-            let entries = self.log.range(self.applied + 1, self.commit);
-            self.applied = self.commit;
+        if self.commit_index > self.applied {
+            let entries = self.log.range(self.applied + 1, self.commit_index);
+            self.applied = self.commit_index;
             self.effects.push(Effect::Apply(entries));
         }
     }
@@ -303,7 +303,9 @@
     }
 
     fn bootstrap(&mut self, member: Member) {
-        if self.log.last() != Position::default() || self.hard_state != HardState::default() {
+        if self.log.last_position() != Position::default()
+            || self.hard_state != HardState::default()
+        {
             return;
         }
         let position = Position { term: 1, index: 1 };
@@ -362,7 +364,8 @@
         let mut effects = std::mem::take(&mut self.effects);
         if !self.records.is_empty() {
             self.sequence += 1;
-            self.unsynced.insert(self.sequence, self.log.last().index);
+            self.unsynced
+                .insert(self.sequence, self.log.last_position().index);
             let persist = Effect::Persist {
                 records: std::mem::take(&mut self.records),
                 sequence: self.sequence,
--- a/crates/coordination/src/raft_election.rs
+++ b/crates/coordination/src/raft_election.rs
@@ -7,7 +7,7 @@
 use crate::raft::State;
 use crate::raft_entry::HardState;
 use crate::raft_entry::Position;
-use crate::raft_leadership::Leader;
+use crate::raft_leader_state::LeaderState;
 use crate::raft_message::Body;
 
 impl Raft {
@@ -19,7 +19,7 @@
         }
         self.fail_reads();
         self.state = State::PreCandidate(BTreeSet::new());
-        let last = self.log.last();
+        let last = self.log.last_position();
         let term = self.hard_state.term + 1;
         for peer in self.other_voters() {
             self.send(peer, term, Body::PreVote { last });
@@ -61,7 +61,8 @@
     }
 
     pub(crate) fn on_pre_vote(&mut self, from: MemberId, term: u64, last: Position) {
-        let granted = term > self.hard_state.term && last >= self.log.last() && !self.promised();
+        let granted =
+            term > self.hard_state.term && last >= self.log.last_position() && !self.promised();
         let reply = if granted { term } else { self.hard_state.term };
         self.send(from, reply, Body::PreVoteReply { granted });
     }
@@ -86,7 +87,8 @@
             self.follow(term, None);
         }
         let free = self.hard_state.vote.is_none_or(|vote| vote == from);
-        let granted = free && last >= self.log.last() && matches!(self.state, State::Follower(_));
+        let granted =
+            free && last >= self.log.last_position() && matches!(self.state, State::Follower(_));
         if granted {
             let vote = Some(from);
             self.set_hard(HardState { term, vote });
@@ -116,15 +118,15 @@
         self.set_hard(hard_state);
         self.voted = self.sequence + 1;
         self.state = State::Candidate(BTreeSet::new());
-        let last = self.log.last();
+        let last = self.log.last_position();
         for peer in self.other_voters() {
             self.send_synced(peer, hard_state.term, Body::Vote { last });
         }
     }
 
     fn lead(&mut self) {
-        let last = self.log.last();
-        let mut leader = Leader::new(self.now, self.log.last_time_ms(), last.index);
+        let last = self.log.last_position();
+        let mut leader = LeaderState::new(self.now, self.log.last_time_ms(), last.index);
         leader.track(self.log.config(), self.identity, last.index + 1);
         self.state = State::Leader(Box::new(leader));
         self.begin_term();
--- a/crates/coordination/src/raft_follower.rs
+++ b/crates/coordination/src/raft_follower.rs
@@ -91,7 +91,8 @@
         commit: u64,
     ) {
         let base = self.log.snapshot().meta.position.index;
-        let known = previous.index < base || self.log.term(previous.index) == Some(previous.term);
+        let known =
+            previous.index < base || self.log.term_at(previous.index) == Some(previous.term);
         if !known {
             let hint = self.hint(previous);
             let term = self.hard_state.term;
@@ -100,13 +101,13 @@
         let matched = previous.index + entries.len() as u64;
         self.extend(entries);
         self.commit_to(commit.min(matched));
-        let matched = matched.max(base.min(self.commit));
+        let matched = matched.max(base.min(self.commit_index));
         let accepted = Body::Accepted { matched, round };
         self.send_synced(from, self.hard_state.term, accepted);
     }
 
     fn commit_to(&mut self, index: u64) {
-        self.commit = self.commit.max(index);
+        self.commit_index = self.commit_index.max(index);
         self.apply();
     }
 
@@ -114,13 +115,16 @@
         let base = self.log.snapshot().meta.position.index;
         let new = entries.into_iter().skip_while(|entry| {
             let position = entry.position;
-            position.index <= base || self.log.term(position.index) == Some(position.term)
+            position.index <= base || self.log.term_at(position.index) == Some(position.term)
         });
         let new: Vec<Entry> = new.collect();
         let Some(first) = new.first().map(|entry| entry.position.index) else {
             return;
         };
-        assert!(first > self.commit, "committed entry {first} contradicted");
+        assert!(
+            first > self.commit_index,
+            "committed entry {first} contradicted"
+        );
         self.log.truncate(first);
         new.iter().for_each(|entry| self.log.push(entry.clone()));
         self.records.push(Record::Entries(new));
@@ -136,13 +140,13 @@
     }
 
     fn hint(&self, previous: Position) -> u64 {
-        let last = self.log.last().index;
+        let last = self.log.last_position().index;
         if previous.index > last {
             return last;
         }
-        let term = self.log.term(previous.index);
+        let term = self.log.term_at(previous.index);
         let mut index = previous.index - 1;
-        while index > self.commit && self.log.term(index) == term {
+        while index > self.commit_index && self.log.term_at(index) == term {
             index -= 1;
         }
         index
@@ -155,7 +159,7 @@
         });
         let index = snapshot.meta.position.index;
         self.log.reset(snapshot.clone());
-        self.commit = index;
+        self.commit_index = index;
         self.applied = index;
         self.records.push(Record::Install(snapshot.clone()));
         self.effects.push(Effect::Restore(snapshot));
@@ -172,7 +176,9 @@
     ) {
         let position = meta.position;
         let term = self.hard_state.term;
-        if position.index <= self.commit || self.log.term(position.index) == Some(position.term) {
+        if position.index <= self.commit_index
+            || self.log.term_at(position.index) == Some(position.term)
+        {
             self.commit_to(position.index);
             let matched = position.index;
             return self.send_synced(from, term, Body::Accepted { matched, round });
--- a/crates/coordination/src/raft_leader.rs
+++ b/crates/coordination/src/raft_leader.rs
@@ -14,7 +14,7 @@
 use crate::raft_entry::Payload;
 use crate::raft_entry::Position;
 use crate::raft_entry::Record;
-use crate::raft_leadership::Waiting;
+use crate::raft_leader_state::PendingRead;
 use crate::raft_message::Body;
 use crate::raft_message::Token;
 use crate::raft_progress::Mode;
@@ -29,12 +29,12 @@
         let own = self.identity;
         let config = self.log.config();
         let agreed = config.majority_value(|id| leader.matched(id, own));
-        if agreed > self.commit && self.log.term(agreed) == Some(self.hard_state.term) {
-            self.commit = agreed;
+        if agreed > self.commit_index && self.log.term_at(agreed) == Some(self.hard_state.term) {
+            self.commit_index = agreed;
             self.apply();
         }
         let gone = !self.config().members.contains_key(&own);
-        if gone && self.commit >= self.log.config_index() {
+        if gone && self.commit_index >= self.log.config_index() {
             return self.follow(self.hard_state.term, None);
         }
         self.answer_reads();
@@ -69,7 +69,7 @@
             Err(refusal) => self.effects.push(Effect::Refused(token, refusal)),
             Ok(config) => {
                 let position = self.push(Payload::Config(config));
-                let next = self.log.last().index;
+                let next = self.log.last_position().index;
                 if let State::Leader(leader) = &mut self.state {
                     leader.track(self.log.config(), self.identity, next);
                 }
@@ -110,7 +110,7 @@
 
     /// Appends commands as one batch.
     pub(crate) fn propose(&mut self, commands: Vec<(Token, Arc<[u8]>)>) {
-        let waiting = self.log.last().index - self.commit;
+        let waiting = self.log.last_position().index - self.commit_index;
         let refusal = match &self.state {
             State::Leader(_) if waiting < self.settings.max_uncommitted_entries => None,
             State::Leader(_) => Some(Refusal::Backlog),
@@ -129,14 +129,14 @@
     /// Answers a read under the lease, or after a majority confirms that this member leads.
     pub(crate) fn read(&mut self, token: Token) {
         let leads = self.leader();
-        let commit = self.commit;
+        let commit = self.commit_index;
         let State::Leader(leader) = &mut self.state else {
             let refusal = Refusal::NotLeader(leads);
             return self.effects.push(Effect::Refused(token, refusal));
         };
         let leased = self.now < leader.lease(&self.settings);
         let round = if leased { 0 } else { leader.round + 1 };
-        leader.reads.push_back(Waiting {
+        leader.reads.push_back(PendingRead {
             index: commit.max(leader.first),
             round,
             token,
@@ -157,8 +157,8 @@
             .log
             .config()
             .majority_value(|id| leader.acked_round(id, own));
-        let commit = self.commit;
-        let ready = |read: &Waiting| read.round <= confirmed && read.index <= commit;
+        let commit = self.commit_index;
+        let ready = |read: &PendingRead| read.round <= confirmed && read.index <= commit;
         while let Some(read) = leader.reads.pop_front_if(|read| ready(read)) {
             self.effects.push(Effect::Read(read.token, read.index));
         }
@@ -168,13 +168,13 @@
         let State::Leader(leader) = &self.state else {
             return Err(Refusal::NotLeader(self.leader()));
         };
-        if self.commit < self.log.config_index().max(leader.first) {
+        if self.commit_index < self.log.config_index().max(leader.first) {
             return Err(quorum::Error::ChangePending.into());
         }
         if let Change::Promote(id) = change {
             let progress = leader.members.get(id);
             let recent =
-                |p: &Progress| p.acked_round + 2 >= leader.round && p.matched >= self.commit;
+                |p: &Progress| p.acked_round + 2 >= leader.round && p.matched >= self.commit_index;
             if !progress.is_some_and(recent) {
                 return Err(quorum::Error::Behind(*id).into());
             }
@@ -189,7 +189,7 @@
         };
         let position = Position {
             term: self.hard_state.term,
-            index: self.log.last().index + 1,
+            index: self.log.last_position().index + 1,
         };
         let entry = Entry {
             log_time_ms,
@@ -250,7 +250,7 @@
             return None;
         };
         let progress = leader.members.get_mut(&peer)?;
-        let last = self.log.last().index;
+        let last = self.log.last_position().index;
         match progress.mode {
             Mode::Probe { in_flight: true } | Mode::Snapshot { .. } => return None,
             Mode::Replicate if progress.next_index > last => return None,
@@ -258,7 +258,7 @@
             Mode::Probe { .. } | Mode::Replicate => {}
         }
         let index = progress.next_index - 1;
-        let Some(term) = self.log.term(index) else {
+        let Some(term) = self.log.term_at(index) else {
             let index = self.log.snapshot().meta.position.index;
             let offset = 0;
             progress.mode = Mode::Snapshot { index, offset };
@@ -276,7 +276,7 @@
             }
         }
         Some(Body::Append {
-            commit: self.commit,
+            commit: self.commit_index,
             entries,
             previous: Position { term, index },
             round: leader.round,
@@ -302,10 +302,10 @@
         }
         let index = progress.matched;
         if matches!(progress.mode, Mode::Replicate)
-            && let Some(term) = self.log.term(index)
+            && let Some(term) = self.log.term_at(index)
         {
             let body = Body::Append {
-                commit: self.commit,
+                commit: self.commit_index,
                 entries: Vec::new(),
                 previous: Position { term, index },
                 round: leader.round,
--- a/crates/coordination/src/raft_leadership.rs
+++ b/crates/coordination/src/raft_leader_state.rs
@@ -13,7 +13,7 @@
 
 /// Names a read that waits to be answered.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct PendingRead {
     pub(crate) index: u64,
     pub(crate) round: u64,
     pub(crate) token: Token,
@@ -21,7 +21,7 @@
 
 /// Holds what only a leader knows.
 #[derive(Debug)]
-pub(crate) struct Leader {
+pub(crate) struct LeaderState {
     pub(crate) base: u64,
     pub(crate) checked: Instant,
     pub(crate) durable: u64,
@@ -29,13 +29,13 @@
     pub(crate) heartbeat_due: Instant,
     pub(crate) leased: Option<Instant>,
     pub(crate) members: BTreeMap<MemberId, Progress>,
-    pub(crate) reads: VecDeque<Waiting>,
+    pub(crate) reads: VecDeque<PendingRead>,
     pub(crate) round: u64,
     pub(crate) since: Instant,
     pub(crate) started: VecDeque<(u64, Instant)>,
 }
 
-impl Leader {
+impl LeaderState {
     /// Returns a leader that starts at `now`, when the log's time is `base`.
     pub(crate) fn new(now: Instant, base: u64, durable: u64) -> Self {
         Self {
--- a/crates/coordination/src/raft_log.rs
+++ b/crates/coordination/src/raft_log.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the place of the last entry.
-    pub fn last(&self) -> Position {
+    pub fn last_position(&self) -> Position {
         let last = self.entries.back();
         last.map_or(self.snapshot.meta.position, |entry| entry.position)
     }
@@ -110,7 +110,7 @@
     }
 
     /// Returns the term of the entry at `index`, unless it is not held.
-    pub fn term(&self, index: u64) -> Option<u64> {
+    pub fn term_at(&self, index: u64) -> Option<u64> {
         let base = self.snapshot.meta.position;
         if index <= base.index {
             return (index == base.index).then_some(base.term);
--- a/crates/coordination/tests/faults.rs
+++ b/crates/coordination/tests/faults.rs
@@ -318,8 +318,12 @@
     let raft = sim.hosts[to].raft.as_mut().expect("voter runs");
     let term = raft.term();
     for body in [
-        Body::PreVote { last: raft.last() },
-        Body::Vote { last: raft.last() },
+        Body::PreVote {
+            last: raft.last_position(),
+        },
+        Body::Vote {
+            last: raft.last_position(),
+        },
     ] {
         let envelope = Envelope {
             body,
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -259,7 +259,7 @@
         let Some(raft) = self.hosts[leader].raft.as_ref() else {
             return false;
         };
-        let last = raft.last().index;
+        let last = raft.last_position().index;
         own.len() == self.hosts.len()
             && raft.config().members.len() == own.len()
             && raft.config().voters().eq(own)
--- a/crates/hibiscushoistd/src/voter_duty.rs
+++ b/crates/hibiscushoistd/src/voter_duty.rs
@@ -132,7 +132,7 @@
     pub fn run(mut self) {
         self.show();
         loop {
-            let due = self.raft.as_ref().map(Raft::due);
+            let due = self.raft.as_ref().map(Raft::next_tick);
             let wait = due.map_or(IDLE, |due| {
                 Duration::from_millis(due.since(self.clock.now()))
             });
@@ -145,7 +145,7 @@
             if self
                 .raft
                 .as_ref()
-                .is_some_and(|r| r.due() <= self.clock.now())
+                .is_some_and(|r| r.next_tick() <= self.clock.now())
             {
                 self.step(raft::Event::Tick);
             }
@@ -408,7 +408,7 @@
         let leads = raft.role() == Role::Leader;
         let leader = raft.leader().and_then(|id| config.members.get(&id));
         let new = Status {
-            committed: raft.commit(),
+            committed: raft.commit_index(),
             config: config.clone(),
             identity: raft.identity(),
             leader: leader.filter(|_| !leads).map(|member| member.address),
