--- a/crates/coordination/examples/measure/cache.rs
+++ b/crates/coordination/examples/measure/cache.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-use state::directory::Change;
+use state::cache_directory::Change;
 use state::ident::BlockHash;
 
 /// Holds blocks and the changes that were not published yet.
--- a/crates/coordination/examples/measure/size.rs
+++ b/crates/coordination/examples/measure/size.rs
@@ -12,10 +12,10 @@
 use coordination::placement_request::PlacementRequest;
 use coordination::report::Progress;
 use coordination::report::ProgressReport;
-use state::directory::Batch;
-use state::directory::Change;
-use state::directory::Directory;
-use state::directory::Slot;
+use state::cache_directory::Batch;
+use state::cache_directory::CacheDirectory;
+use state::cache_directory::Change;
+use state::cache_directory::UpstreamIndex;
 use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
@@ -30,7 +30,7 @@
 
 /// Fills a directory to the target size, replaces a part of it, and prints what that took.
 pub fn directory() {
-    let mut directory = Directory::default();
+    let mut directory = CacheDirectory::default();
     let mut sequences = vec![0; UPSTREAMS as usize];
     let start = Instant::now();
     for at in (0..ENTRIES).step_by(BATCH as usize) {
@@ -39,7 +39,7 @@
     }
     let filled = start.elapsed();
     let entries = directory.len();
-    let bytes = directory.bytes();
+    let bytes = directory.index_bytes();
     let mut slowest = 0;
     let start = Instant::now();
     for at in (0..CHURN).step_by(BATCH as usize) {
@@ -112,7 +112,7 @@
     println!("placement, first token and end, with the hashing of its blocks.");
 }
 
-fn apply(directory: &mut Directory, sequences: &mut [u64], at: u64, changes: Vec<Change>) {
+fn apply(directory: &mut CacheDirectory, sequences: &mut [u64], at: u64, changes: Vec<Change>) {
     let upstream = (at / BATCH % UPSTREAMS) as usize;
     let batch = Batch {
         incarnation: Incarnation(1),
@@ -121,7 +121,7 @@
         changes,
     };
     sequences[upstream] += batch.changes.len() as u64;
-    directory.apply(Slot(upstream as u16), batch, time::Instant(0));
+    directory.apply_batch(UpstreamIndex(upstream as u16), batch, time::Instant(0));
 }
 
 /// Returns a block whose bits are spread like those of a hash.
--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -29,11 +29,11 @@
 use crate::report::LoadReport;
 use crate::report::Progress;
 pub use crate::report::ProgressReport;
-use state::directory;
-use state::directory::Batch;
-use state::directory::Directory;
-use state::directory::Slot;
-use state::directory::Snapshot;
+use state::cache_directory;
+use state::cache_directory::Batch;
+use state::cache_directory::CacheDirectory;
+use state::cache_directory::Snapshot;
+use state::cache_directory::UpstreamIndex;
 use state::queue::Verdict;
 use state::rank::Rank;
 use state::table::Table;
@@ -125,7 +125,7 @@
 struct Placed {
     ask: PlacementRequest,
     grant: Option<Box<Grant>>,
-    slot: Slot,
+    slot: UpstreamIndex,
     work: Work,
 }
 
@@ -134,17 +134,17 @@
 pub struct Broker {
     admission: Admission,
     busy: u64,
-    directory: Directory,
+    directory: CacheDirectory,
     expired: Instant,
     held: HashMap<PlacementId, Placed>,
     pool: Pool,
-    resyncs: BTreeMap<Slot, Instant>,
+    resyncs: BTreeMap<UpstreamIndex, Instant>,
     waiting: HashSet<PlacementId>,
 }
 
 impl Broker {
     /// Returns the directory, for measures and the operators' view.
-    pub fn directory(&self) -> &Directory {
+    pub fn directory(&self) -> &CacheDirectory {
         &self.directory
     }
 
@@ -227,11 +227,11 @@
         }
         let before = self.directory.incarnation(slot);
         let incarnation = batch.incarnation;
-        let outcome = self.directory.apply(slot, batch, now);
+        let outcome = self.directory.apply_batch(slot, batch, now);
         if before.is_some_and(|before| before < incarnation) {
             self.pool.restart(slot, incarnation, now);
         }
-        if outcome == directory::Outcome::Gap {
+        if outcome == cache_directory::Outcome::Gap {
             self.resync(slot, now, effects);
         }
     }
@@ -304,7 +304,7 @@
         };
         let known = self.directory.incarnation(slot);
         if self.pool.measure(slot, sample, now) {
-            self.directory.void(slot);
+            self.directory.invalidate(slot);
         }
         if known.is_none() {
             self.resync(slot, now, effects);
@@ -366,7 +366,7 @@
             .begin(slot, tokens, ask.rank, proposal.priority, now);
         let served = admission::work(tokens, ask.output_tokens);
         self.admission.serve(ask.rank, served, now);
-        self.directory.expect(slot, &ask.blocks, now);
+        self.directory.add_expected(slot, &ask.blocks, now);
         let grant = Box::new(Grant {
             expected_us: proposal.expected_us,
             import: proposal.import,
@@ -393,7 +393,7 @@
         match report.progress {
             Progress::Failed => {
                 if let Some(held) = self.held.get(&report.placement_id) {
-                    self.directory.unexpect(held.slot, &held.ask.blocks);
+                    self.directory.remove_expected(held.slot, &held.ask.blocks);
                     self.pool.fail(held.slot, now);
                 }
                 self.finish(report.placement_id, now);
@@ -414,7 +414,7 @@
     }
 
     /// Asks for a snapshot, unless one was asked for a moment ago.
-    fn resync(&mut self, slot: Slot, now: Instant, effects: &mut Vec<Effect>) {
+    fn resync(&mut self, slot: UpstreamIndex, now: Instant, effects: &mut Vec<Effect>) {
         let asked = self.resyncs.get(&slot);
         if asked.is_some_and(|asked| now.since(*asked) < RESYNC_MS) {
             return;
@@ -438,7 +438,7 @@
         if self.pool.is_dead(slot) {
             return;
         }
-        if self.directory.replace(slot, snapshot, now) == directory::Outcome::Gap {
+        if self.directory.apply_snapshot(slot, snapshot, now) == cache_directory::Outcome::Gap {
             self.resync(slot, now, effects);
         }
     }
@@ -449,7 +449,7 @@
         };
         self.pool.stand(slot, standing, now);
         if standing == Standing::Dead {
-            self.directory.void(slot);
+            self.directory.invalidate(slot);
         }
     }
 
@@ -457,7 +457,7 @@
         self.pool.update(table, owned);
         self.admission.rule(Arc::new(Rules::read(table)));
         for slot in self.pool.gone() {
-            self.directory.void(slot);
+            self.directory.invalidate(slot);
         }
     }
 
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,6 +1,6 @@
 //! Placement of a request on the upstream with the least expected time to the first token.
 
-use state::directory::Slot;
+use state::cache_directory::UpstreamIndex;
 
 /// Gives the trade that a workspace row without one has.
 pub const DEFAULT_TRADE: u64 = 30;
@@ -51,7 +51,7 @@
     /// Gives the expected time to the first token, in microseconds.
     pub expected_us: u64,
     /// Names the candidate.
-    pub slot: Slot,
+    pub slot: UpstreamIndex,
     /// Gives the blocks that the upstream has to compute.
     pub uncached: u32,
     /// Gives the time that bringing in and computing the prompt takes, in microseconds.
@@ -59,7 +59,7 @@
 }
 
 /// Rates one candidate for a request.
-pub fn rate(demand: Demand, slot: Slot, candidate: &Candidate) -> Rating {
+pub fn rate(demand: Demand, slot: UpstreamIndex, candidate: &Candidate) -> Rating {
     let resident = match candidate.doubtful {
         true => candidate.resident / 2,
         false => candidate.resident,
@@ -93,7 +93,7 @@
 ///
 /// Of those within a few percent of the cheapest, the one with the least `tie` wins, so that
 /// requests for the same prefix agree on an upstream before any of them has run.
-pub fn sort(ratings: &mut [Rating], tie: impl Fn(Slot) -> u64) {
+pub fn sort(ratings: &mut [Rating], tie: impl Fn(UpstreamIndex) -> u64) {
     ratings.sort_by_key(|rating| (rating.cost_us, rating.slot));
     let Some(first) = ratings.first() else {
         return;
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -18,10 +18,10 @@
 use crate::placement::Rating;
 use crate::placement_request::PlacementRequest;
 use crate::report::LoadReport;
+use state::cache_directory::CacheDirectory;
+use state::cache_directory::CachedPrefixes;
+use state::cache_directory::UpstreamIndex;
 use state::column::Column;
-use state::directory::Directory;
-use state::directory::Residency;
-use state::directory::Slot;
 use state::ident::BlockHash;
 use state::ident::Incarnation;
 use state::rank::Rank;
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Source {
     blocks: u32,
-    slot: Option<Slot>,
+    slot: Option<UpstreamIndex>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -76,7 +76,7 @@
     /// Lists the best upstreams, cheapest first.
     pub scores: Vec<Score>,
     /// Names the upstream.
-    pub slot: Slot,
+    pub slot: UpstreamIndex,
     /// Gives the prompt tokens that the upstream has to compute.
     pub tokens: u64,
     /// Gives the expected work, in tokens of prompt.
@@ -95,13 +95,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     bound: Option<Bound>,
-    slots: BTreeMap<String, Slot>,
+    slots: BTreeMap<String, UpstreamIndex>,
     upstreams: Vec<Upstream>,
 }
 
 impl Promised {
     /// Adds the work of a request that waits for the upstream.
-    pub fn add(&mut self, slot: Slot, us: u64) {
+    pub fn add(&mut self, slot: UpstreamIndex, us: u64) {
         let at = usize::from(slot.0);
         if self.us.len() <= at {
             self.us.resize(at + 1, 0);
@@ -110,7 +110,7 @@
     }
 
     /// Returns the time that the upstream will take for what waits for it, in microseconds.
-    pub fn at(&self, slot: Slot) -> u64 {
+    pub fn at(&self, slot: UpstreamIndex) -> u64 {
         self.us.get(usize::from(slot.0)).copied().unwrap_or(0)
     }
 }
@@ -170,7 +170,7 @@
     /// Records work of `rank` that was sent to an upstream.
     pub fn begin(
         &mut self,
-        slot: Slot,
+        slot: UpstreamIndex,
         tokens: u64,
         rank: Rank,
         priority: Rank,
@@ -189,28 +189,28 @@
     }
 
     /// Records the end of work.
-    pub fn end(&mut self, slot: Slot, work: &mut Work, now: Instant) {
+    pub fn end(&mut self, slot: UpstreamIndex, work: &mut Work, now: Instant) {
         self.at_mut(slot).capacity.end(work, now);
     }
 
     /// Records that an upstream failed a request.
-    pub fn fail(&mut self, slot: Slot, now: Instant) {
+    pub fn fail(&mut self, slot: UpstreamIndex, now: Instant) {
         self.at_mut(slot).capacity.fail(now);
     }
 
     /// Returns the upstreams that the table no longer lists.
-    pub fn gone(&self) -> Vec<Slot> {
-        let unlisted = |slot: &&Slot| !self.at(**slot).listed;
+    pub fn gone(&self) -> Vec<UpstreamIndex> {
+        let unlisted = |slot: &&UpstreamIndex| !self.at(**slot).listed;
         self.slots.values().filter(unlisted).copied().collect()
     }
 
     /// Returns whether the upstream is known to be dead.
-    pub fn is_dead(&self, slot: Slot) -> bool {
+    pub fn is_dead(&self, slot: UpstreamIndex) -> bool {
         self.at(slot).standing == Standing::Dead
     }
 
     /// Takes in a load report and returns whether it opens a new run of the upstream.
-    pub fn measure(&mut self, slot: Slot, sample: LoadReport, now: Instant) -> bool {
+    pub fn measure(&mut self, slot: UpstreamIndex, sample: LoadReport, now: Instant) -> bool {
         let upstream = self.at_mut(slot);
         if upstream.incarnation.is_some_and(|i| sample.incarnation < i) {
             return false;
@@ -225,12 +225,12 @@
     }
 
     /// Returns the name of an upstream.
-    pub fn name(&self, slot: Slot) -> &str {
+    pub fn name(&self, slot: UpstreamIndex) -> &str {
         &self.at(slot).name
     }
 
     /// Returns whether an upstream takes work of the class at once.
-    pub fn open(&self, slot: Slot, class: Class, now: Instant) -> bool {
+    pub fn open(&self, slot: UpstreamIndex, class: Class, now: Instant) -> bool {
         let upstream = self.upstreams.get(usize::from(slot.0));
         upstream.is_some_and(|upstream| upstream.capacity.open(class, now))
     }
@@ -254,12 +254,12 @@
         ask: &PlacementRequest,
         priority: Rank,
         trade: u64,
-        directory: &Directory,
+        directory: &CacheDirectory,
         promised: &Promised,
         now: Instant,
     ) -> Proposal {
-        let residency = directory.resident(&ask.blocks, now);
-        let depth = |slot: Slot| residency.soon(slot);
+        let residency = directory.cached_prefixes(&ask.blocks, now);
+        let depth = |slot: UpstreamIndex| residency.cached_or_expected(slot);
         let mut deepest: Vec<(Option<&str>, Source)> = Vec::new();
         let mut ratings = Vec::new();
         for (slot, upstream) in self.iter().filter(|(_, upstream)| upstream.fits(ask)) {
@@ -275,7 +275,7 @@
                 held: source.blocks,
                 trade,
             };
-            let doubtful = directory.doubtful(slot);
+            let doubtful = directory.has_gap(slot);
             let mut candidate = candidate(upstream, ask, priority, depth(slot), doubtful, now);
             candidate.wait_us += promised.at(slot);
             ratings.push(placement::rate(demand, slot, &candidate));
@@ -313,7 +313,7 @@
     }
 
     /// Forgets the load of an upstream that started anew.
-    pub fn restart(&mut self, slot: Slot, incarnation: Incarnation, now: Instant) {
+    pub fn restart(&mut self, slot: UpstreamIndex, incarnation: Incarnation, now: Instant) {
         let upstream = self.at_mut(slot);
         if upstream.incarnation.is_none_or(|known| known < incarnation) {
             upstream.incarnation = Some(incarnation);
@@ -333,12 +333,12 @@
     }
 
     /// Returns the slot of an upstream.
-    pub fn slot(&self, name: &str) -> Option<Slot> {
+    pub fn slot(&self, name: &str) -> Option<UpstreamIndex> {
         self.slots.get(name).copied()
     }
 
     /// Takes in whether an upstream may get new work.
-    pub fn stand(&mut self, slot: Slot, standing: Standing, now: Instant) {
+    pub fn stand(&mut self, slot: UpstreamIndex, standing: Standing, now: Instant) {
         let upstream = self.at_mut(slot);
         upstream.standing = standing;
         if standing == Standing::Dead {
@@ -347,7 +347,7 @@
     }
 
     /// Records the first token of work.
-    pub fn start(&mut self, slot: Slot, work: &mut Work, now: Instant) {
+    pub fn start(&mut self, slot: UpstreamIndex, work: &mut Work, now: Instant) {
         self.at_mut(slot).capacity.start(work, now);
     }
 
@@ -356,8 +356,8 @@
     pub fn store(
         &self,
         ask: &PlacementRequest,
-        source: Slot,
-        directory: &Directory,
+        source: UpstreamIndex,
+        directory: &CacheDirectory,
         now: Instant,
     ) -> Option<String> {
         let version = self.at(source).capacity.version()?;
@@ -396,15 +396,15 @@
     }
 
     /// Returns the weights version of an upstream, where it is known.
-    pub fn version(&self, slot: Slot) -> Option<&str> {
+    pub fn version(&self, slot: UpstreamIndex) -> Option<&str> {
         self.at(slot).capacity.version()
     }
 
-    fn admit(&mut self, name: &str) -> Slot {
+    fn admit(&mut self, name: &str) -> UpstreamIndex {
         if let Some(slot) = self.slots.get(name) {
             return *slot;
         }
-        let slot = Slot(u16::try_from(self.upstreams.len()).unwrap_or(u16::MAX));
+        let slot = UpstreamIndex(u16::try_from(self.upstreams.len()).unwrap_or(u16::MAX));
         let seed = BlockHash::root(name, "", "").0 as u64;
         self.upstreams.push(Upstream {
             name: name.to_owned(),
@@ -415,11 +415,11 @@
         slot
     }
 
-    fn at(&self, slot: Slot) -> &Upstream {
+    fn at(&self, slot: UpstreamIndex) -> &Upstream {
         &self.upstreams[usize::from(slot.0)]
     }
 
-    fn at_mut(&mut self, slot: Slot) -> &mut Upstream {
+    fn at_mut(&mut self, slot: UpstreamIndex) -> &mut Upstream {
         &mut self.upstreams[usize::from(slot.0)]
     }
 
@@ -431,8 +431,8 @@
         &self,
         ask: &PlacementRequest,
         version: Option<&str>,
-        directory: &Directory,
-        residency: &Residency,
+        directory: &CacheDirectory,
+        residency: &CachedPrefixes,
         now: Instant,
     ) -> Source {
         let Some(version) = version else {
@@ -440,12 +440,12 @@
         };
         let mut best = Source::default();
         for (slot, upstream) in self.iter() {
-            if !upstream.lends(&ask.model) || directory.doubtful(slot) {
+            if !upstream.lends(&ask.model) || directory.has_gap(slot) {
                 continue;
             }
             let blocks = match upstream.role {
                 Role::Engine if directory.version(slot) != Some(version) => 0,
-                Role::Engine => residency.held(slot),
+                Role::Engine => residency.cached(slot),
                 Role::Store => stored(ask, version, slot, directory, now),
             };
             if blocks >= best.blocks {
@@ -456,9 +456,9 @@
         best
     }
 
-    fn iter(&self) -> impl Iterator<Item = (Slot, &Upstream)> {
+    fn iter(&self) -> impl Iterator<Item = (UpstreamIndex, &Upstream)> {
         let numbered = self.upstreams.iter().enumerate();
-        numbered.map(|(at, upstream)| (Slot(at as u16), upstream))
+        numbered.map(|(at, upstream)| (UpstreamIndex(at as u16), upstream))
     }
 
     fn score(&self, rating: &Rating, resident_blocks: u32) -> Score {
@@ -493,12 +493,12 @@
 fn stored(
     ask: &PlacementRequest,
     version: &str,
-    slot: Slot,
-    directory: &Directory,
+    slot: UpstreamIndex,
+    directory: &CacheDirectory,
     now: Instant,
 ) -> u32 {
     let named: Vec<BlockHash> = ask.blocks.iter().map(|b| b.under(version)).collect();
-    directory.resident(&named, now).held(slot)
+    directory.cached_prefixes(&named, now).cached(slot)
 }
 
 /// Orders even upstreams by rendezvous hashing of the prompt's first block.
--- a/crates/coordination/tests/directory.rs
+++ b/crates/coordination/tests/directory.rs
@@ -1,21 +1,21 @@
 //! Faults of cache event streams and what the directory makes of them.
 
-use state::directory::Batch;
-use state::directory::Change;
-use state::directory::Directory;
-use state::directory::Outcome;
-use state::directory::Slot;
-use state::directory::Snapshot;
+use state::block_index::BlockIndex;
+use state::block_index::HolderId;
+use state::cache_directory::Batch;
+use state::cache_directory::CacheDirectory;
+use state::cache_directory::Change;
+use state::cache_directory::Outcome;
+use state::cache_directory::Snapshot;
+use state::cache_directory::UpstreamIndex;
 use state::ident::BlockHash;
 use state::ident::Incarnation;
-use state::index::Index;
-use state::index::Lane;
 use state::time::Instant;
 
-type Fault = fn(&mut Directory);
+type Fault = fn(&mut CacheDirectory);
 
-const A: Slot = Slot(0);
-const B: Slot = Slot(1);
+const A: UpstreamIndex = UpstreamIndex(0);
+const B: UpstreamIndex = UpstreamIndex(1);
 
 fn chain(workspace: &str, blocks: usize) -> Vec<BlockHash> {
     BlockHash::root(workspace, "m", "v1").chain(&vec![7; blocks * 4], 4)
@@ -34,24 +34,26 @@
     blocks.iter().map(|block| Change::Stored(*block)).collect()
 }
 
-fn held(directory: &Directory, slot: Slot, blocks: &[BlockHash], now: u64) -> u32 {
-    directory.resident(blocks, Instant(now)).soon(slot)
+fn held(directory: &CacheDirectory, slot: UpstreamIndex, blocks: &[BlockHash], now: u64) -> u32 {
+    directory
+        .cached_prefixes(blocks, Instant(now))
+        .cached_or_expected(slot)
 }
 
-fn filled() -> (Directory, Vec<BlockHash>) {
-    let mut directory = Directory::default();
+fn filled() -> (CacheDirectory, Vec<BlockHash>) {
+    let mut directory = CacheDirectory::default();
     let blocks = chain("maps", 4);
-    directory.apply(A, batch(1, "v1", 0, stored(&blocks)), Instant(0));
+    directory.apply_batch(A, batch(1, "v1", 0, stored(&blocks)), Instant(0));
     (directory, blocks)
 }
 
 #[test]
 fn nested_prefix_counts_leading_blocks_only() {
     let (mut directory, blocks) = filled();
-    directory.apply(B, batch(1, "v1", 0, stored(&blocks[1..])), Instant(0));
+    directory.apply_batch(B, batch(1, "v1", 0, stored(&blocks[1..])), Instant(0));
     assert_eq!(held(&directory, A, &blocks, 0), 4);
     assert_eq!(held(&directory, B, &blocks, 0), 0);
-    directory.apply(
+    directory.apply_batch(
         A,
         batch(1, "v1", 4, vec![Change::Removed(blocks[2])]),
         Instant(1),
@@ -63,14 +65,14 @@
 fn what_voids_a_cache() {
     let cases: [(&str, Fault); 5] = [
         ("cleared", |d| {
-            d.apply(A, batch(1, "v1", 4, vec![Change::Cleared]), Instant(1));
+            d.apply_batch(A, batch(1, "v1", 4, vec![Change::Cleared]), Instant(1));
         }),
-        ("dead", |d| d.void(A)),
+        ("dead", |d| d.invalidate(A)),
         ("new incarnation", |d| {
-            d.apply(A, batch(2, "v1", 0, vec![]), Instant(1));
+            d.apply_batch(A, batch(2, "v1", 0, vec![]), Instant(1));
         }),
         ("new version", |d| {
-            d.apply(A, batch(1, "v2", 4, vec![]), Instant(1));
+            d.apply_batch(A, batch(1, "v2", 4, vec![]), Instant(1));
         }),
         ("snapshot without them", |d| {
             let snapshot = Snapshot {
@@ -79,12 +81,12 @@
                 sequence: 4,
                 version: "v1".to_owned(),
             };
-            d.replace(A, &snapshot, Instant(1));
+            d.apply_snapshot(A, &snapshot, Instant(1));
         }),
     ];
     for (name, fault) in cases {
         let (mut directory, blocks) = filled();
-        directory.expect(A, &blocks, Instant(0));
+        directory.add_expected(A, &blocks, Instant(0));
         fault(&mut directory);
         assert_eq!(held(&directory, A, &blocks, 1), 0, "{name}");
     }
@@ -101,17 +103,23 @@
 #[test]
 fn late_and_repeated_batches_change_nothing() {
     let (mut directory, blocks) = filled();
-    directory.apply(
+    directory.apply_batch(
         A,
         batch(1, "v1", 4, vec![Change::Removed(blocks[3])]),
         Instant(1),
     );
     let repeat = batch(1, "v1", 0, stored(&blocks));
-    assert_eq!(directory.apply(A, repeat, Instant(2)), Outcome::Late);
+    assert_eq!(
+        directory.apply_batch(A, repeat, Instant(2)),
+        Outcome::Outdated
+    );
     assert_eq!(held(&directory, A, &blocks, 2), 3);
-    directory.apply(A, batch(2, "v1", 0, vec![]), Instant(3));
+    directory.apply_batch(A, batch(2, "v1", 0, vec![]), Instant(3));
     let late = batch(1, "v1", 5, stored(&blocks));
-    assert_eq!(directory.apply(A, late, Instant(4)), Outcome::Late);
+    assert_eq!(
+        directory.apply_batch(A, late, Instant(4)),
+        Outcome::Outdated
+    );
     assert_eq!(held(&directory, A, &blocks, 4), 0);
 }
 
@@ -119,8 +127,8 @@
 fn gap_is_doubted_until_a_snapshot_and_dropped_without_one() {
     let (mut directory, blocks) = filled();
     let after = batch(1, "v1", 9, vec![Change::Removed(blocks[3])]);
-    assert_eq!(directory.apply(A, after, Instant(10)), Outcome::Gap);
-    assert!(directory.doubtful(A));
+    assert_eq!(directory.apply_batch(A, after, Instant(10)), Outcome::Gap);
+    assert!(directory.has_gap(A));
     assert_eq!(directory.tick(Instant(20)), [A]);
     let mut settled = directory.clone();
     let snapshot = Snapshot {
@@ -129,8 +137,11 @@
         sequence: 9,
         version: "v1".to_owned(),
     };
-    assert_eq!(settled.replace(A, &snapshot, Instant(30)), Outcome::Applied);
-    assert!(!settled.doubtful(A));
+    assert_eq!(
+        settled.apply_snapshot(A, &snapshot, Instant(30)),
+        Outcome::Applied
+    );
+    assert!(!settled.has_gap(A));
     assert_eq!(held(&settled, A, &blocks, 30), 2);
     directory.tick(Instant(3_010));
     assert_eq!(held(&directory, A, &blocks, 3_010), 0);
@@ -139,12 +150,12 @@
 #[test]
 fn snapshot_older_than_changes_seen_replays_them() {
     let (mut directory, blocks) = filled();
-    directory.apply(
+    directory.apply_batch(
         A,
         batch(1, "v1", 6, vec![Change::Removed(blocks[3])]),
         Instant(1),
     );
-    directory.apply(
+    directory.apply_batch(
         A,
         batch(1, "v1", 7, vec![Change::Removed(blocks[2])]),
         Instant(2),
@@ -156,10 +167,13 @@
         version: "v1".to_owned(),
     };
     let mut short = directory.clone();
-    assert_eq!(short.replace(A, &snapshot(5), Instant(3)), Outcome::Gap);
-    assert!(short.doubtful(A));
     assert_eq!(
-        directory.replace(A, &snapshot(6), Instant(3)),
+        short.apply_snapshot(A, &snapshot(5), Instant(3)),
+        Outcome::Gap
+    );
+    assert!(short.has_gap(A));
+    assert_eq!(
+        directory.apply_snapshot(A, &snapshot(6), Instant(3)),
         Outcome::Applied
     );
     assert_eq!(held(&directory, A, &blocks, 3), 2);
@@ -167,20 +181,23 @@
 
 #[test]
 fn expected_blocks_count_for_placement_but_not_as_held() {
-    let mut directory = Directory::default();
+    let mut directory = CacheDirectory::default();
     let blocks = chain("maps", 3);
-    directory.expect(B, &blocks, Instant(0));
-    let residency = directory.resident(&blocks, Instant(1));
-    assert_eq!((residency.soon(B), residency.held(B)), (3, 0));
+    directory.add_expected(B, &blocks, Instant(0));
+    let residency = directory.cached_prefixes(&blocks, Instant(1));
+    assert_eq!(
+        (residency.cached_or_expected(B), residency.cached(B)),
+        (3, 0)
+    );
     assert_eq!(held(&directory, B, &blocks, 10_000), 0);
 }
 
 #[test]
 fn dropped_entries_are_swept_and_their_lanes_reused() {
-    let mut directory = Directory::default();
+    let mut directory = CacheDirectory::default();
     let blocks = chain("maps", 50);
     for run in 0..10_000 {
-        directory.apply(A, batch(run, "v1", 0, stored(&blocks)), Instant(run));
+        directory.apply_batch(A, batch(run, "v1", 0, stored(&blocks)), Instant(run));
         directory.tick(Instant(run));
         assert_eq!(held(&directory, A, &blocks, run), 50);
     }
@@ -192,7 +209,7 @@
 
 #[test]
 fn index_agrees_with_a_plain_set_through_churn() {
-    let mut index = Index::default();
+    let mut index = BlockIndex::default();
     let mut plain = std::collections::HashSet::new();
     let blocks = chain("maps", 2_000);
     let mut state = 1_u64;
@@ -202,7 +219,7 @@
             .wrapping_add(1);
         // Few distinct blocks in one segment make long runs, where removal is most delicate.
         let block = BlockHash(blocks[(state >> 33) as usize % 2_000].0 & (u128::MAX >> 12));
-        let lane = Lane(1 + (state >> 60) as u16);
+        let lane = HolderId(1 + (state >> 60) as u16);
         match (state >> 50) % 2 {
             0 => assert_eq!(index.insert(block, lane), plain.insert((block, lane))),
             _ => assert_eq!(index.remove(block, lane), plain.remove(&(block, lane))),
@@ -211,7 +228,7 @@
     assert_eq!(index.len(), plain.len());
     for (block, lane) in plain {
         let mut found = false;
-        index.lanes(block, |held| found |= held == lane);
+        index.holders(block, |held| found |= held == lane);
         assert!(found);
     }
 }
--- a/crates/hibiscushoistd/examples/role_slopes.rs
+++ b/crates/hibiscushoistd/examples/role_slopes.rs
@@ -20,9 +20,9 @@
 use coordination::report::LoadReport;
 use coordination::report::Progress;
 use protocol::engine;
+use state::cache_directory::Batch;
+use state::cache_directory::Change;
 use state::column::Column;
-use state::directory::Batch;
-use state::directory::Change;
 use state::edit::Action;
 use state::edit::Edit;
 use state::ident::BlockHash;
@@ -77,7 +77,7 @@
     println!("each cache change           {each:10.3} us");
     println!(
         "directory, own count        {:10.1} bytes a block",
-        broker.directory().bytes() as f64 / known
+        broker.directory().index_bytes() as f64 / known
     );
     let grown = (resident_kib() - before) * 1024.0 / known;
     println!("directory, resident         {grown:10.1} bytes a block");
--- a/crates/state/src/index.rs
+++ b/crates/state/src/block_index.rs
@@ -7,19 +7,19 @@
 use crate::ident::BlockHash;
 
 /// Bounds the lanes of an index; lane 0 is never used.
-pub const LANES: usize = 1 << LANE_BITS;
+pub const MAX_HOLDER_IDS: usize = 1 << HOLDER_ID_BITS;
 
 const FINGERPRINT_BITS: u32 = 52;
 const FULL_NUMERATOR: usize = 17;
 const FULL_DENOMINATOR: usize = 20;
-const LANE_BITS: u32 = 12;
-const LANE_MASK: u64 = (1 << LANE_BITS) - 1;
+const HOLDER_ID_BITS: u32 = 12;
+const HOLDER_ID_MASK: u64 = (1 << HOLDER_ID_BITS) - 1;
 const SEGMENT_BITS: u32 = 12;
 const SMALLEST_SEGMENT: usize = 8;
 
 /// Names a set of entries that are dropped together; a `Copy` key below [`LANES`].
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Lane(pub u16);
+pub struct HolderId(pub u16);
 
 #[derive(Clone, Debug, Default)]
 struct Segment {
@@ -29,12 +29,12 @@
 
 /// Maps blocks to lanes, several to one block.
 #[derive(Clone, Debug)]
-pub struct Index {
+pub struct BlockIndex {
     len: usize,
     segments: Vec<Segment>,
 }
 
-impl Default for Index {
+impl Default for BlockIndex {
     fn default() -> Self {
         Self {
             len: 0,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Index {
+impl BlockIndex {
     /// Returns the memory that the index takes, in bytes.
     pub fn bytes(&self) -> usize {
         let slots: usize = self.segments.iter().map(|s| s.slots.capacity()).sum();
@@ -51,9 +51,9 @@
     }
 
     /// Adds an entry and returns whether it is new.
-    pub fn insert(&mut self, block: BlockHash, lane: Lane) -> bool {
+    pub fn insert(&mut self, block: BlockHash, holder: HolderId) -> bool {
         let (segment, fingerprint) = split(block);
-        let added = self.segments[segment].insert(word(fingerprint, lane));
+        let added = self.segments[segment].insert(word(fingerprint, holder));
         self.len += usize::from(added);
         added
     }
@@ -64,7 +64,7 @@
     }
 
     /// Calls `visit` with each lane that holds `block`.
-    pub fn lanes(&self, block: BlockHash, mut visit: impl FnMut(Lane)) {
+    pub fn holders(&self, block: BlockHash, mut visit: impl FnMut(HolderId)) {
         let (segment, fingerprint) = split(block);
         let segment = &self.segments[segment];
         if segment.slots.is_empty() {
@@ -73,8 +73,8 @@
         let mut at = segment.home(fingerprint);
         while segment.slots[at] != 0 {
             let entry = segment.slots[at];
-            if entry >> LANE_BITS == fingerprint {
-                visit(lane(entry));
+            if entry >> HOLDER_ID_BITS == fingerprint {
+                visit(holder(entry));
             }
             at = segment.after(at);
         }
@@ -86,9 +86,9 @@
     }
 
     /// Removes an entry and returns whether it was there.
-    pub fn remove(&mut self, block: BlockHash, lane: Lane) -> bool {
+    pub fn remove(&mut self, block: BlockHash, holder: HolderId) -> bool {
         let (segment, fingerprint) = split(block);
-        let removed = self.segments[segment].remove(word(fingerprint, lane));
+        let removed = self.segments[segment].remove(word(fingerprint, holder));
         self.len -= usize::from(removed);
         removed
     }
@@ -99,9 +99,9 @@
     }
 
     /// Removes the entries of one segment whose lane `keep` refuses.
-    pub fn sweep(&mut self, segment: usize, keep: impl Fn(Lane) -> bool) {
+    pub fn sweep(&mut self, segment: usize, keep: impl Fn(HolderId) -> bool) {
         let segment = &mut self.segments[segment];
-        let stale = |slots: &[u64]| slots.iter().any(|e| *e != 0 && !keep(lane(*e)));
+        let stale = |slots: &[u64]| slots.iter().any(|e| *e != 0 && !keep(holder(*e)));
         if !stale(&segment.slots) {
             return;
         }
@@ -109,7 +109,7 @@
         let kept: Vec<u64> = segment
             .slots
             .drain(..)
-            .filter(|entry| *entry != 0 && keep(lane(*entry)))
+            .filter(|entry| *entry != 0 && keep(holder(*entry)))
             .collect();
         segment.refill(kept);
         self.len -= before - segment.len;
@@ -139,7 +139,7 @@
         if (self.len + 1) * FULL_DENOMINATOR > self.slots.len() * FULL_NUMERATOR {
             self.grow();
         }
-        let mut at = self.home(entry >> LANE_BITS);
+        let mut at = self.home(entry >> HOLDER_ID_BITS);
         while self.slots[at] != 0 {
             if self.slots[at] == entry {
                 return false;
@@ -156,7 +156,7 @@
         self.len = 0;
         self.slots = vec![0; len];
         for entry in entries {
-            let mut at = self.home(entry >> LANE_BITS);
+            let mut at = self.home(entry >> HOLDER_ID_BITS);
             while self.slots[at] != 0 {
                 at = self.after(at);
             }
@@ -169,7 +169,7 @@
         if self.slots.is_empty() {
             return false;
         }
-        let mut at = self.home(entry >> LANE_BITS);
+        let mut at = self.home(entry >> HOLDER_ID_BITS);
         while self.slots[at] != entry {
             if self.slots[at] == 0 {
                 return false;
@@ -185,7 +185,7 @@
     fn close(&mut self, mut hole: usize) {
         let mut at = self.after(hole);
         while self.slots[at] != 0 {
-            let home = self.home(self.slots[at] >> LANE_BITS);
+            let home = self.home(self.slots[at] >> HOLDER_ID_BITS);
             let between = if hole < at {
                 hole < home && home <= at
             } else {
@@ -201,8 +201,8 @@
     }
 }
 
-fn lane(entry: u64) -> Lane {
-    Lane((entry & LANE_MASK) as u16)
+fn holder(entry: u64) -> HolderId {
+    HolderId((entry & HOLDER_ID_MASK) as u16)
 }
 
 fn split(block: BlockHash) -> (usize, u64) {
@@ -211,6 +211,6 @@
     (segment, fingerprint)
 }
 
-fn word(fingerprint: u64, lane: Lane) -> u64 {
-    fingerprint << LANE_BITS | u64::from(lane.0)
+fn word(fingerprint: u64, holder: HolderId) -> u64 {
+    fingerprint << HOLDER_ID_BITS | u64::from(holder.0)
 }
--- a/crates/state/src/directory.rs
+++ b/crates/state/src/cache_directory.rs
@@ -9,11 +9,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::block_index::BlockIndex;
+use crate::block_index::HolderId;
+use crate::block_index::MAX_HOLDER_IDS;
 use crate::ident::BlockHash;
 use crate::ident::Incarnation;
-use crate::index::Index;
-use crate::index::LANES;
-use crate::index::Lane;
 use crate::time::Instant;
 
 const BUFFERED_CHANGES: usize = 65_536;
@@ -61,7 +61,7 @@
 
 /// Names an upstream in a directory; a `Copy` key.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Slot(pub u16);
+pub struct UpstreamIndex(pub u16);
 
 /// Tells what became of a batch or snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -71,14 +71,14 @@
     /// Means that changes before it are missing: a snapshot is needed.
     Gap,
     /// Means that it belongs to an earlier incarnation or was applied before.
-    Late,
+    Outdated,
     /// Means that it opened a new incarnation or version, and that earlier blocks were dropped.
-    Renewed,
+    Reset,
 }
 
 /// Tells how many leading blocks of a prompt each upstream holds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Residency {
+pub struct CachedPrefixes {
     held: Vec<u32>,
     soon: Vec<u32>,
 }
@@ -89,7 +89,7 @@
     buffered: usize,
     doubt: Option<Instant>,
     incarnation: Incarnation,
-    lane: Option<Lane>,
+    lane: Option<HolderId>,
     next: u64,
     version: String,
 }
@@ -97,47 +97,47 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Use {
     Free,
-    Live(Slot),
+    Live(UpstreamIndex),
     Stale { since: u64 },
 }
 
 /// Holds the blocks that each upstream holds.
 #[derive(Clone, Debug)]
-pub struct Directory {
-    expected: HashMap<BlockHash, Vec<(Slot, Instant)>>,
-    expiries: VecDeque<(Instant, BlockHash, Slot)>,
+pub struct CacheDirectory {
+    expected: HashMap<BlockHash, Vec<(UpstreamIndex, Instant)>>,
+    expiries: VecDeque<(Instant, BlockHash, UpstreamIndex)>,
     feeds: Vec<Option<Feed>>,
-    index: Index,
+    index: BlockIndex,
     lanes: Vec<Use>,
     sweep: usize,
     swept: u64,
 }
 
-impl Default for Directory {
+impl Default for CacheDirectory {
     fn default() -> Self {
         Self {
             expected: HashMap::new(),
             expiries: VecDeque::new(),
             feeds: Vec::new(),
-            index: Index::default(),
-            lanes: vec![Use::Free; LANES],
+            index: BlockIndex::default(),
+            lanes: vec![Use::Free; MAX_HOLDER_IDS],
             sweep: 0,
             swept: 0,
         }
     }
 }
 
-impl Directory {
+impl CacheDirectory {
     /// Applies `batch` of the upstream at `slot`.
-    pub fn apply(&mut self, slot: Slot, batch: Batch, now: Instant) -> Outcome {
+    pub fn apply_batch(&mut self, slot: UpstreamIndex, batch: Batch, now: Instant) -> Outcome {
         let renewed = match self.open(slot, batch.incarnation, &batch.version) {
             Some(renewed) => renewed,
-            None => return Outcome::Late,
+            None => return Outcome::Outdated,
         };
         let feed = self.feed(slot);
         let end = batch.sequence + batch.changes.len() as u64;
         if end <= feed.next && !batch.changes.is_empty() {
-            return Outcome::Late;
+            return Outcome::Outdated;
         }
         let gap = batch.sequence > feed.next;
         let skip = feed.next.saturating_sub(batch.sequence) as usize;
@@ -151,24 +151,24 @@
         }
         match (gap, renewed) {
             (true, _) => Outcome::Gap,
-            (false, true) => Outcome::Renewed,
+            (false, true) => Outcome::Reset,
             (false, false) => Outcome::Applied,
         }
     }
 
     /// Returns the memory that the index takes, in bytes.
-    pub fn bytes(&self) -> usize {
+    pub fn index_bytes(&self) -> usize {
         self.index.bytes()
     }
 
     /// Returns whether changes of the upstream were lost since its last snapshot.
-    pub fn doubtful(&self, slot: Slot) -> bool {
+    pub fn has_gap(&self, slot: UpstreamIndex) -> bool {
         self.peek(slot).is_some_and(|feed| feed.doubt.is_some())
     }
 
     /// Counts on `blocks` entering the cache of the upstream soon, because a request that computes
     /// them was sent there.
-    pub fn expect(&mut self, slot: Slot, blocks: &[BlockHash], now: Instant) {
+    pub fn add_expected(&mut self, slot: UpstreamIndex, blocks: &[BlockHash], now: Instant) {
         self.admit(slot);
         let expires = now + EXPECTED_LIFETIME_MS;
         for block in blocks {
@@ -183,7 +183,7 @@
     }
 
     /// Returns the incarnation of the upstream, once it was heard of.
-    pub fn incarnation(&self, slot: Slot) -> Option<Incarnation> {
+    pub fn incarnation(&self, slot: UpstreamIndex) -> Option<Incarnation> {
         self.peek(slot).map(|feed| feed.incarnation)
     }
 
@@ -199,12 +199,17 @@
 
     /// Replaces all that is known of the upstream's cache, then replays the changes that the
     /// snapshot does not include.
-    pub fn replace(&mut self, slot: Slot, snapshot: &Snapshot, now: Instant) -> Outcome {
+    pub fn apply_snapshot(
+        &mut self,
+        slot: UpstreamIndex,
+        snapshot: &Snapshot,
+        now: Instant,
+    ) -> Outcome {
         if self
             .open(slot, snapshot.incarnation, &snapshot.version)
             .is_none()
         {
-            return Outcome::Late;
+            return Outcome::Outdated;
         }
         self.renew(slot);
         let buffer = self.feed(slot).settle();
@@ -229,15 +234,15 @@
     }
 
     /// Finds how many leading blocks of `blocks` each upstream holds.
-    pub fn resident(&self, blocks: &[BlockHash], now: Instant) -> Residency {
-        let mut residency = Residency {
+    pub fn cached_prefixes(&self, blocks: &[BlockHash], now: Instant) -> CachedPrefixes {
+        let mut residency = CachedPrefixes {
             held: vec![0; self.feeds.len()],
             soon: vec![0; self.feeds.len()],
         };
         for (at, block) in blocks.iter().enumerate() {
             let at = at as u32;
             let mut advanced = false;
-            self.index.lanes(*block, |lane| {
+            self.index.holders(*block, |lane| {
                 if let Use::Live(slot) = self.lanes[usize::from(lane.0)] {
                     advance(&mut residency.held, slot, at);
                     advanced |= advance(&mut residency.soon, slot, at);
@@ -257,16 +262,16 @@
 
     /// Forgets what expired, drops doubtful caches that no snapshot settled in time, and sweeps a
     /// part of the index. Returns the upstreams that still need a snapshot.
-    pub fn tick(&mut self, now: Instant) -> Vec<Slot> {
+    pub fn tick(&mut self, now: Instant) -> Vec<UpstreamIndex> {
         while self.expiries.front().is_some_and(|(at, _, _)| *at <= now) {
             self.forget();
         }
         self.sweep();
-        let doubtful: Vec<(Slot, Instant)> = self
+        let doubtful: Vec<(UpstreamIndex, Instant)> = self
             .feeds
             .iter()
             .enumerate()
-            .filter_map(|(at, feed)| Some((Slot(at as u16), feed.as_ref()?.doubt?)))
+            .filter_map(|(at, feed)| Some((UpstreamIndex(at as u16), feed.as_ref()?.doubt?)))
             .collect();
         for (slot, since) in &doubtful {
             if now.since(*since) >= DOUBT_LIMIT_MS {
@@ -278,7 +283,7 @@
     }
 
     /// No longer counts on `blocks` entering the cache of the upstream.
-    pub fn unexpect(&mut self, slot: Slot, blocks: &[BlockHash]) {
+    pub fn remove_expected(&mut self, slot: UpstreamIndex, blocks: &[BlockHash]) {
         for block in blocks {
             if let Some(slots) = self.expected.get_mut(block) {
                 slots.retain(|(held, _)| *held != slot);
@@ -287,30 +292,30 @@
     }
 
     /// Returns the weights version of the upstream, once it was heard of.
-    pub fn version(&self, slot: Slot) -> Option<&str> {
+    pub fn version(&self, slot: UpstreamIndex) -> Option<&str> {
         self.peek(slot).map(|feed| feed.version.as_str())
     }
 
     /// Drops all that is known of the upstream's cache, because the upstream is gone or doubted.
-    pub fn void(&mut self, slot: Slot) {
+    pub fn invalidate(&mut self, slot: UpstreamIndex) {
         self.renew(slot);
     }
 
-    fn admit(&mut self, slot: Slot) {
+    fn admit(&mut self, slot: UpstreamIndex) {
         let len = usize::from(slot.0) + 1;
         if self.feeds.len() < len {
             self.feeds.resize(len, None);
         }
     }
 
-    fn change(&mut self, slot: Slot, change: Change) {
+    fn change(&mut self, slot: UpstreamIndex, change: Change) {
         match change {
             Change::Cleared => self.renew(slot),
             Change::Removed(block) => {
                 if let Some(lane) = self.feed(slot).lane {
                     self.index.remove(block, lane);
                 }
-                self.unexpect(slot, &[block]);
+                self.remove_expected(slot, &[block]);
             }
             Change::Stored(block) => {
                 if let Some(lane) = self.feed(slot).lane.or_else(|| self.lease(slot)) {
@@ -320,7 +325,7 @@
         }
     }
 
-    fn feed(&mut self, slot: Slot) -> &mut Feed {
+    fn feed(&mut self, slot: UpstreamIndex) -> &mut Feed {
         self.feeds[usize::from(slot.0)]
             .as_mut()
             .expect("feed was opened")
@@ -340,17 +345,22 @@
     }
 
     /// Takes a free lane for the upstream; without one its blocks go unrecorded until a sweep ends.
-    fn lease(&mut self, slot: Slot) -> Option<Lane> {
-        let free = (1..LANES).find(|lane| self.lanes[*lane] == Use::Free)?;
+    fn lease(&mut self, slot: UpstreamIndex) -> Option<HolderId> {
+        let free = (1..MAX_HOLDER_IDS).find(|lane| self.lanes[*lane] == Use::Free)?;
         self.lanes[free] = Use::Live(slot);
-        let lane = Lane(free as u16);
+        let lane = HolderId(free as u16);
         self.feed(slot).lane = Some(lane);
         Some(lane)
     }
 
     /// Opens the feed for an incarnation and version and returns whether either is new, or nothing
     /// when the incarnation has been succeeded by another.
-    fn open(&mut self, slot: Slot, incarnation: Incarnation, version: &str) -> Option<bool> {
+    fn open(
+        &mut self,
+        slot: UpstreamIndex,
+        incarnation: Incarnation,
+        version: &str,
+    ) -> Option<bool> {
         self.admit(slot);
         let at = usize::from(slot.0);
         if let Some(feed) = &self.feeds[at] {
@@ -378,12 +388,12 @@
         Some(true)
     }
 
-    fn peek(&self, slot: Slot) -> Option<&Feed> {
+    fn peek(&self, slot: UpstreamIndex) -> Option<&Feed> {
         self.feeds.get(usize::from(slot.0))?.as_ref()
     }
 
     /// Makes all entries of the upstream stale at once; the sweep removes them later.
-    fn renew(&mut self, slot: Slot) {
+    fn renew(&mut self, slot: UpstreamIndex) {
         let since = self.swept;
         if let Some(Some(feed)) = self.feeds.get_mut(usize::from(slot.0))
             && let Some(lane) = feed.lane.take()
@@ -403,7 +413,7 @@
         }
         for _ in 0..SWEEP_SEGMENTS {
             let lanes = &self.lanes;
-            let keep = |lane: Lane| matches!(lanes[usize::from(lane.0)], Use::Live(_));
+            let keep = |lane: HolderId| matches!(lanes[usize::from(lane.0)], Use::Live(_));
             self.index.sweep(self.sweep, keep);
             self.sweep += 1;
             if self.sweep == self.index.segments() {
@@ -425,14 +435,14 @@
     }
 }
 
-impl Residency {
+impl CachedPrefixes {
     /// Returns how many leading blocks the upstream holds already.
-    pub fn held(&self, slot: Slot) -> u32 {
+    pub fn cached(&self, slot: UpstreamIndex) -> u32 {
         self.held.get(usize::from(slot.0)).copied().unwrap_or(0)
     }
 
     /// Returns how many leading blocks the upstream holds or will hold soon.
-    pub fn soon(&self, slot: Slot) -> u32 {
+    pub fn cached_or_expected(&self, slot: UpstreamIndex) -> u32 {
         self.soon.get(usize::from(slot.0)).copied().unwrap_or(0)
     }
 }
@@ -462,7 +472,7 @@
 }
 
 /// Counts the block at `at` for the upstream if it continues what is counted.
-fn advance(depths: &mut [u32], slot: Slot, at: u32) -> bool {
+fn advance(depths: &mut [u32], slot: UpstreamIndex, at: u32) -> bool {
     match depths.get_mut(usize::from(slot.0)) {
         Some(depth) if *depth == at => {
             *depth = at + 1;
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -3,13 +3,13 @@
 //! Nothing here does I/O or reads a clock. Times are passed in as milliseconds.
 
 pub mod arena;
+pub mod block_index;
+pub mod cache_directory;
 pub mod cell;
 pub mod column;
-pub mod directory;
 pub mod edit;
 pub mod history;
 pub mod ident;
-pub mod index;
 pub mod ledger;
 pub mod queue;
 pub mod rank;
