--- a/crates/coordination/src/machine.rs
+++ b/crates/coordination/src/state_machine.rs
@@ -70,7 +70,7 @@
 pub enum Error {
     /// Reports bytes that do not decode.
     #[error("cannot decode replicated state: {0}")]
-    Decode(#[from] postcard::Error),
+    Codec(#[from] postcard::Error),
 }
 
 impl Command {
@@ -95,7 +95,7 @@
 
 /// Holds the replicated state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Machine {
+pub struct StateMachine {
     clock: u64,
     history: History,
     leases: Leases,
@@ -104,7 +104,7 @@
     table: Arc<Table>,
 }
 
-impl Machine {
+impl StateMachine {
     /// Returns an empty machine whose ledger keeps to `limits`.
     pub fn new(limits: ledger::Limits) -> Self {
         Self {
--- a/crates/coordination/tests/machine.rs
+++ b/crates/coordination/tests/machine.rs
@@ -5,9 +5,9 @@
 use coordination::lease::CLOCK_RATE_BOUND;
 use coordination::lease::Grant;
 use coordination::lease::Leases;
-use coordination::machine;
-use coordination::machine::Command;
-use coordination::machine::Machine;
+use coordination::state_machine;
+use coordination::state_machine::Command;
+use coordination::state_machine::StateMachine;
 use state::edit::Action;
 use state::edit::Edit;
 use state::ident::Digest;
@@ -94,14 +94,14 @@
             owner,
         })
     };
-    let mut machine = Machine::default();
+    let mut machine = StateMachine::default();
     let first = machine.apply(1, &edit);
     machine.apply(2, &begin(1));
     let bytes = machine.snapshot().expect("state encodes");
-    let mut restored = Machine::restore(&bytes).expect("snapshot decodes");
+    let mut restored = StateMachine::restore(&bytes).expect("snapshot decodes");
     assert_eq!(restored, machine);
     assert_eq!(restored.apply(3, &edit), first);
-    let waits = machine::Answer::Begin(Decision::Running(Attempt(1)));
+    let waits = state_machine::Answer::Begin(Decision::Running(Attempt(1)));
     assert_eq!(restored.apply(4, &begin(2)), waits);
     assert_eq!(restored.apply(1, &begin(2)), waits);
     assert_eq!(restored.clock(), 4);
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -17,9 +17,6 @@
 use rand_chacha::ChaCha8Rng;
 
 use coordination::lease::CLOCK_RATE_BOUND;
-use coordination::machine::Answer;
-use coordination::machine::Command;
-use coordination::machine::Machine;
 use coordination::quorum::Change;
 use coordination::quorum::Member;
 use coordination::quorum::MemberId;
@@ -34,6 +31,9 @@
 use coordination::raft_message::Envelope;
 use coordination::raft_message::Token;
 use coordination::raft_settings::Settings;
+use coordination::state_machine::Answer;
+use coordination::state_machine::Command;
+use coordination::state_machine::StateMachine;
 use state::time::Instant;
 
 const ASK_AGAIN: u64 = 100;
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub enum Reply {
     Answer(Answer),
-    Read(Box<Machine>),
+    Read(Box<StateMachine>),
     Refused,
 }
 
@@ -111,7 +111,7 @@
     pub disk: Disk,
     epoch: u64,
     pub applied: u64,
-    pub machine: Machine,
+    pub machine: StateMachine,
     pub raft: Option<Raft>,
     reads: Vec<(u64, u64)>,
     waiting: BTreeMap<u64, (u64, u64)>,
@@ -165,7 +165,7 @@
                 compacted: 0,
                 disk: Disk::default(),
                 epoch: 0,
-                machine: Machine::default(),
+                machine: StateMachine::default(),
                 raft: None,
                 reads: Vec::new(),
                 waiting: BTreeMap::new(),
@@ -206,8 +206,8 @@
         host.applied = recovered.snapshot.meta.position.index;
         host.compacted = host.applied;
         host.machine = match host.applied {
-            0 => Machine::default(),
-            _ => Machine::restore(&recovered.snapshot.data).expect("snapshot decodes"),
+            0 => StateMachine::default(),
+            _ => StateMachine::restore(&recovered.snapshot.data).expect("snapshot decodes"),
         };
         host.reads.clear();
         host.waiting.clear();
@@ -434,7 +434,7 @@
             Effect::Refused(token, _) => self.reply(token.0, Reply::Refused),
             Effect::Restore(snapshot) => {
                 let host = &mut self.hosts[host];
-                host.machine = Machine::restore(&snapshot.data).expect("snapshot decodes");
+                host.machine = StateMachine::restore(&snapshot.data).expect("snapshot decodes");
                 host.applied = snapshot.meta.position.index;
                 host.compacted = host.applied;
                 host.waiting.clear();
--- a/crates/hibiscushoistd/examples/role_slopes.rs
+++ b/crates/hibiscushoistd/examples/role_slopes.rs
@@ -14,11 +14,11 @@
 use coordination::broker::PlacementId;
 use coordination::broker::PlacementRequest;
 use coordination::broker::ProgressReport;
-use coordination::machine::Answer;
-use coordination::machine::Command;
-use coordination::machine::Machine;
 use coordination::report::LoadReport;
 use coordination::report::Progress;
+use coordination::state_machine::Answer;
+use coordination::state_machine::Command;
+use coordination::state_machine::StateMachine;
 use protocol::engine;
 use state::cache_directory::Batch;
 use state::cache_directory::Change;
@@ -167,7 +167,7 @@
     table
 }
 
-fn orders() -> Machine {
+fn orders() -> StateMachine {
     let limits = ledger::Limits {
         answer_window: u64::MAX / 4,
         answers: usize::MAX,
@@ -176,7 +176,7 @@
         records: usize::MAX,
         response: 1 << 20,
     };
-    let mut machine = Machine::new(limits);
+    let mut machine = StateMachine::new(limits);
     let before = resident_kib();
     let start = Instant::now();
     for number in 0..ORDERS {
--- a/crates/hibiscushoistd/src/voter_call.rs
+++ b/crates/hibiscushoistd/src/voter_call.rs
@@ -5,12 +5,12 @@
 
 use tokio::sync::oneshot;
 
-use coordination::machine::Answer;
-use coordination::machine::Command;
 use coordination::quorum::Change;
 use coordination::quorum::Config;
 use coordination::quorum::Member;
 use coordination::quorum::MemberId;
+use coordination::state_machine::Answer;
+use coordination::state_machine::Command;
 use protocol::operator;
 use protocol::operator::History;
 use protocol::operator::Voters;
--- a/crates/hibiscushoistd/src/voter_duty.rs
+++ b/crates/hibiscushoistd/src/voter_duty.rs
@@ -15,9 +15,6 @@
 use crate::voter_disk::Job;
 use crate::voter_disk::Writer;
 use crate::voter_route::Routes;
-use coordination::machine::Answer;
-use coordination::machine::Command;
-use coordination::machine::Machine;
 use coordination::quorum::Change;
 use coordination::quorum::Config;
 use coordination::raft;
@@ -28,6 +25,9 @@
 use coordination::raft_entry::Entry;
 use coordination::raft_entry::Payload;
 use coordination::raft_message::Token;
+use coordination::state_machine::Answer;
+use coordination::state_machine::Command;
+use coordination::state_machine::StateMachine;
 use protocol::operator;
 use protocol::operator::History;
 use protocol::voter::Rejection;
@@ -57,7 +57,7 @@
     disk: Writer,
     due: Waiting,
     log: Logger,
-    machine: Machine,
+    machine: StateMachine,
     raft: Option<Raft>,
     routes: Routes,
     status: watch::Sender<Status>,
@@ -103,12 +103,12 @@
     /// # Errors
     ///
     /// Returns an error when the snapshot does not decode.
-    pub fn new(parts: Parts) -> Result<Self, coordination::machine::Error> {
+    pub fn new(parts: Parts) -> Result<Self, coordination::state_machine::Error> {
         let snapshot = parts.raft.snapshot();
         let applied = snapshot.meta.position.index;
         let machine = match snapshot.data.is_empty() {
-            false => Machine::restore(&snapshot.data)?,
-            true => Machine::default(),
+            false => StateMachine::restore(&snapshot.data)?,
+            true => StateMachine::default(),
         };
         Ok(Self {
             calls: parts.calls,
@@ -278,7 +278,7 @@
                 }
             }
             Effect::Restore(snapshot) => {
-                match Machine::restore(&snapshot.data) {
+                match StateMachine::restore(&snapshot.data) {
                     Err(_) => return self.end(),
                     Ok(machine) => self.machine = machine,
                 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -18,11 +18,11 @@
 use coordination::choice;
 use coordination::choice::Choice;
 use coordination::gossip::Message;
-use coordination::machine::Answer;
-use coordination::machine::Command;
 use coordination::outlook;
 use coordination::outlook::Outlook;
 use coordination::quarantine;
+use coordination::state_machine::Answer;
+use coordination::state_machine::Command;
 
 /// Numbers the form of the messages; a connection needs the same number on both ends.
 pub const VERSION: u32 = 5;
--- a/crates/transport/examples/durability.rs
+++ b/crates/transport/examples/durability.rs
@@ -9,13 +9,13 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-use coordination::machine::Command;
-use coordination::machine::Machine;
 use coordination::quorum::MemberId;
 use coordination::raft_entry::Entry;
 use coordination::raft_entry::Payload;
 use coordination::raft_entry::Position;
 use coordination::raft_entry::Record;
+use coordination::state_machine::Command;
+use coordination::state_machine::StateMachine;
 use state::column::Column;
 use state::edit::Action;
 use state::edit::Edit;
@@ -90,7 +90,7 @@
         let disk = Folder::open(folder.join("recovery")).expect("the folder opens");
         let (store, report) = Store::open(disk, MemberId(1)).expect("the log is whole");
         let read = began.elapsed();
-        let mut machine = Machine::default();
+        let mut machine = StateMachine::default();
         for entry in &store.recovered().entries {
             if let Payload::Command(bytes) = &entry.payload {
                 let command = Command::decode(bytes).expect("command decodes");
@@ -104,7 +104,7 @@
 }
 
 fn table() {
-    let mut machine = Machine::default();
+    let mut machine = StateMachine::default();
     for number in 0..ROWS {
         machine.apply(number, &edit(number));
     }
@@ -119,7 +119,7 @@
         answers: CALLS as usize,
         ..Limits::default()
     };
-    let mut machine = Machine::new(limits.clone());
+    let mut machine = StateMachine::new(limits.clone());
     let before = resident();
     for number in 0..CALLS {
         machine.apply(0, &begin(number));
@@ -130,7 +130,7 @@
     let data = machine.snapshot().expect("the state encodes");
     let encode = began.elapsed();
     let began = Instant::now();
-    drop(Machine::restore(&data).expect("the snapshot decodes"));
+    drop(StateMachine::restore(&data).expect("the snapshot decodes"));
     let decode = began.elapsed();
     let bytes = data.len() as u64 / CALLS;
     println!("ledger: {CALLS} answered calls of 128 bytes: {held} bytes each in memory");
--- a/crates/transport/tests/decoders.rs
+++ b/crates/transport/tests/decoders.rs
@@ -10,8 +10,8 @@
 use tokio_util::codec::Decoder as _;
 use tokio_util::codec::Encoder;
 
-use coordination::machine::Command;
 use coordination::raft_entry::Record;
+use coordination::state_machine::Command;
 use transport::log_frame;
 use transport::log_frame::Found;
 use transport::peer_frame::Codec;
