--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,7 +1,8 @@
-//! Named leases with fencing numbers, kept in the replicated log.
+//! Named leases with fencing tokens, kept in the replicated log.
 //!
-//! The log's time never runs ahead of real time by more than [`CLOCK_RATE_BOUND`]. A holder counts
-//! on its own clock from before it asked, and stops early enough for both clocks to be off by that.
+//! Log time never runs ahead of real time by more than [`MAX_CLOCK_DRIFT_PERMILLE`]. A holder
+//! measures the lease on its own clock, from before it sent the request, and stops early enough for
+//! both clocks to be off by that much.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +12,25 @@
 use state::time::Instant;
 
 /// Bounds how far the rate of any clock may be off, in parts per thousand.
-pub const CLOCK_RATE_BOUND: u64 = 10;
+pub const MAX_CLOCK_DRIFT_PERMILLE: u64 = 10;
 
 /// Returns how much of `millis` a clock may count while any other clock counts no more than it.
-pub fn shortened(millis: u64) -> u64 {
-    millis.saturating_mul(1000 - CLOCK_RATE_BOUND) / (1000 + CLOCK_RATE_BOUND)
+pub fn shorten_for_clock_drift(millis: u64) -> u64 {
+    millis.saturating_mul(1000 - MAX_CLOCK_DRIFT_PERMILLE) / (1000 + MAX_CLOCK_DRIFT_PERMILLE)
 }
 
 /// Asks for a lease, for its renewal or for its end.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct Request {
     /// Gives how long it should last, in milliseconds; 0 ends it.
-    pub duration: u64,
+    pub duration_ms: u64,
     /// Names the asker and its run, so that a restart counts as another holder.
     pub holder: String,
     /// Names the lease.
     pub name: String,
 }
 
-/// Answers an [`Ask`].
+/// Answers a [`Request`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Answer {
     /// Grants the lease.
@@ -49,15 +50,15 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Grant {
     /// Gives how long it lasts, in milliseconds of the log's time.
-    pub duration: u64,
+    pub duration_ms: u64,
     /// Holds the fencing number, greater than that of any earlier holder.
     pub fence: u64,
 }
 
 impl Grant {
     /// Returns when the holder must stop, on its own clock that read `asked` before it asked.
-    pub fn until(&self, asked: Instant) -> Instant {
-        asked + shortened(self.duration)
+    pub fn expires_at(&self, asked: Instant) -> Instant {
+        asked + shorten_for_clock_drift(self.duration_ms)
     }
 }
 
@@ -77,22 +78,22 @@
 
 impl Leases {
     /// Grants, renews, ends or refuses a lease at the log's time `now`.
-    pub fn ask(&mut self, now: u64, ask: &Ask) -> Answer {
+    pub fn request(&mut self, now: u64, ask: &Request) -> Answer {
         self.held.retain(|_, held| held.until > now);
         match self.held.get_mut(&ask.name) {
             Some(held) if held.holder != ask.holder => Answer::Held {
                 fence: held.fence,
                 holder: held.holder.clone(),
             },
-            Some(_) if ask.duration == 0 => {
+            Some(_) if ask.duration_ms == 0 => {
                 self.held.remove(&ask.name);
                 Answer::Released
             }
-            None if ask.duration == 0 => Answer::Released,
+            None if ask.duration_ms == 0 => Answer::Released,
             Some(held) => {
-                held.until = held.until.max(now.saturating_add(ask.duration));
+                held.until = held.until.max(now.saturating_add(ask.duration_ms));
                 Answer::Granted(Grant {
-                    duration: ask.duration,
+                    duration_ms: ask.duration_ms,
                     fence: held.fence,
                 })
             }
@@ -106,16 +107,16 @@
         (held.until > now).then_some((held.holder.as_str(), held.fence))
     }
 
-    fn grant(&mut self, now: u64, ask: &Ask) -> Grant {
+    fn grant(&mut self, now: u64, ask: &Request) -> Grant {
         self.fence += 1;
         let held = Held {
             fence: self.fence,
             holder: ask.holder.clone(),
-            until: now.saturating_add(ask.duration),
+            until: now.saturating_add(ask.duration_ms),
         };
         self.held.insert(ask.name.clone(), held);
         Grant {
-            duration: ask.duration,
+            duration_ms: ask.duration_ms,
             fence: self.fence,
         }
     }
--- a/crates/coordination/src/raft_leader_state.rs
+++ b/crates/coordination/src/raft_leader_state.rs
@@ -55,7 +55,7 @@
 
     /// Returns until when no other member can lead.
     pub(crate) fn lease(&self, settings: &Settings) -> Instant {
-        let span = lease::shortened(settings.election_timeout_ms);
+        let span = lease::shorten_for_clock_drift(settings.election_timeout_ms);
         self.leased.map_or(Instant(0), |start| start + span)
     }
 
--- a/crates/coordination/src/state_machine.rs
+++ b/crates/coordination/src/state_machine.rs
@@ -31,7 +31,7 @@
     /// Records how a call ended.
     Finish(ledger::Report),
     /// Asks for a lease.
-    Lease(lease::Ask),
+    Lease(lease::Request),
     /// Replaces the routed table unless the one in force is as new.
     Route {
         /// Holds the operator's text of it.
@@ -124,7 +124,7 @@
                 Answer::Edit(self.history.apply(now, table, edit))
             }
             Command::Finish(report) => Answer::Finish(self.ledger.finish(now, report)),
-            Command::Lease(ask) => Answer::Lease(self.leases.ask(now, ask)),
+            Command::Lease(ask) => Answer::Lease(self.leases.request(now, ask)),
             Command::Route { source, table } => {
                 let routed = Arc::make_mut(&mut self.routed);
                 routed.replace(source.clone(), table.clone());
--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -16,7 +16,7 @@
 
 /// Returns a voter that can be removed, because more than `target` vote and its host is gone or
 /// ends.
-pub fn surplus(config: &Config, view: &View, target: usize) -> Option<MemberId> {
+pub fn removable_voter(config: &Config, view: &View, target: usize) -> Option<MemberId> {
     if config.voters().count() <= target {
         return None;
     }
@@ -26,7 +26,7 @@
 }
 
 /// Returns the hosts that should become voters, because fewer than `target` members stay.
-pub fn successors(config: &Config, view: &View, target: usize) -> Vec<(String, SocketAddr)> {
+pub fn replacement_hosts(config: &Config, view: &View, target: usize) -> Vec<(String, SocketAddr)> {
     let staying = config.members.values().filter(|m| stays(m, view)).count();
     if staying >= target {
         return Vec::new();
--- a/crates/coordination/tests/machine.rs
+++ b/crates/coordination/tests/machine.rs
@@ -1,10 +1,10 @@
 //! Tests leases and the snapshot of the replicated state.
 
 use coordination::lease::Answer;
-use coordination::lease::Ask;
-use coordination::lease::CLOCK_RATE_BOUND;
 use coordination::lease::Grant;
 use coordination::lease::Leases;
+use coordination::lease::MAX_CLOCK_DRIFT_PERMILLE;
+use coordination::lease::Request;
 use coordination::state_machine;
 use coordination::state_machine::Command;
 use coordination::state_machine::StateMachine;
@@ -19,9 +19,9 @@
 use state::sheet::Sheet;
 use state::time::Instant;
 
-fn ask(holder: &str, duration: u64) -> Ask {
-    Ask {
-        duration,
+fn ask(holder: &str, duration_ms: u64) -> Request {
+    Request {
+        duration_ms,
         holder: holder.to_owned(),
         name: "orders".to_owned(),
     }
@@ -32,7 +32,7 @@
     let mut leases = Leases::default();
     let grant = |fence| {
         Answer::Granted(Grant {
-            duration: 1_000,
+            duration_ms: 1_000,
             fence,
         })
     };
@@ -40,29 +40,29 @@
         fence: 1,
         holder: "a".to_owned(),
     };
-    assert_eq!(leases.ask(0, &ask("a", 1_000)), grant(1));
-    assert_eq!(leases.ask(500, &ask("a", 1_000)), grant(1));
-    assert_eq!(leases.ask(1_499, &ask("b", 1_000)), held);
-    assert_eq!(leases.ask(1_500, &ask("b", 1_000)), grant(2));
+    assert_eq!(leases.request(0, &ask("a", 1_000)), grant(1));
+    assert_eq!(leases.request(500, &ask("a", 1_000)), grant(1));
+    assert_eq!(leases.request(1_499, &ask("b", 1_000)), held);
+    assert_eq!(leases.request(1_500, &ask("b", 1_000)), grant(2));
     assert_eq!(
-        leases.ask(1_500, &ask("a", 0)),
+        leases.request(1_500, &ask("a", 0)),
         Answer::Held {
             fence: 2,
             holder: "b".to_owned(),
         }
     );
-    assert_eq!(leases.ask(1_501, &ask("b", 0)), Answer::Released);
-    assert_eq!(leases.ask(1_502, &ask("a", 1_000)), grant(3));
+    assert_eq!(leases.request(1_501, &ask("b", 0)), Answer::Released);
+    assert_eq!(leases.request(1_502, &ask("a", 1_000)), grant(3));
 }
 
 #[test]
 fn holder_stops_before_the_log_frees_the_lease_at_both_ends_of_the_clock_bound() {
     let grant = Grant {
-        duration: 10_000,
+        duration_ms: 10_000,
         fence: 1,
     };
-    let own = grant.until(Instant(0)).0 as f64;
-    let bound = CLOCK_RATE_BOUND as f64 / 1_000.0;
+    let own = grant.expires_at(Instant(0)).0 as f64;
+    let bound = MAX_CLOCK_DRIFT_PERMILLE as f64 / 1_000.0;
     let stops = own / (1.0 - bound);
     let freed = 10_000.0 / (1.0 + bound);
     assert!(
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/sim/mod.rs
@@ -16,7 +16,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use coordination::lease::CLOCK_RATE_BOUND;
+use coordination::lease::MAX_CLOCK_DRIFT_PERMILLE;
 use coordination::quorum::Change;
 use coordination::quorum::Member;
 use coordination::quorum::MemberId;
@@ -158,10 +158,10 @@
             weather: Weather::CALM,
         };
         for _ in 0..voters {
-            let skew = sim.rng.random_range(0..=2 * CLOCK_RATE_BOUND);
+            let skew = sim.rng.random_range(0..=2 * MAX_CLOCK_DRIFT_PERMILLE);
             sim.hosts.push(Host {
                 applied: 0,
-                clock_permille: 1_000 - CLOCK_RATE_BOUND + skew,
+                clock_permille: 1_000 - MAX_CLOCK_DRIFT_PERMILLE + skew,
                 compacted: 0,
                 disk: Disk::default(),
                 epoch: 0,
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -60,7 +60,7 @@
 }
 
 fn successors(view: &View) -> Vec<String> {
-    let hosts = voters::successors(&members(&[0, 1, 2]), view, TARGET);
+    let hosts = voters::replacement_hosts(&members(&[0, 1, 2]), view, TARGET);
     hosts.into_iter().map(|(name, _)| name).collect()
 }
 
@@ -68,7 +68,10 @@
 fn a_group_whose_hosts_are_sound_stays_as_it_is() {
     let view = sound(&[0, 1, 2, 3]);
     assert!(successors(&view).is_empty());
-    assert_eq!(voters::surplus(&members(&[0, 1, 2]), &view, TARGET), None);
+    assert_eq!(
+        voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET),
+        None
+    );
 }
 
 #[test]
@@ -76,11 +79,14 @@
     let mut view = sound(&[0, 1, 2, 3]);
     view.hosts[2] = host(2, Standing::Dead, false);
     assert_eq!(successors(&view), [name(3)]);
-    assert_eq!(voters::surplus(&members(&[0, 1, 2]), &view, TARGET), None);
+    assert_eq!(
+        voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET),
+        None
+    );
     let all = members(&[0, 1, 2, 3]);
     let gone = Some(MemberId(2));
-    assert_eq!(voters::surplus(&all, &view, TARGET), gone);
-    assert!(voters::successors(&all, &view, TARGET).is_empty());
+    assert_eq!(voters::removable_voter(&all, &view, TARGET), gone);
+    assert!(voters::replacement_hosts(&all, &view, TARGET).is_empty());
 }
 
 #[test]
@@ -90,11 +96,14 @@
     assert_eq!(successors(&view), [name(3)]);
     let all = members(&[0, 1, 2, 3]);
     let gone = Some(MemberId(2));
-    assert_eq!(voters::surplus(&all, &view, TARGET), gone);
+    assert_eq!(voters::removable_voter(&all, &view, TARGET), gone);
     let mut alone = sound(&[0, 1, 2]);
     alone.hosts[2] = host(2, Standing::Suspect, false);
     assert!(successors(&alone).is_empty());
-    assert_eq!(voters::surplus(&members(&[0, 1, 2]), &alone, TARGET), None);
+    assert_eq!(
+        voters::removable_voter(&members(&[0, 1, 2]), &alone, TARGET),
+        None
+    );
 }
 
 #[test]
@@ -123,5 +132,5 @@
     let mut view = sound(&[0, 1, 2, 3]);
     view.hosts[0] = host(0, Standing::Alive, true);
     let all = members(&[0, 1, 2, 3]);
-    assert_eq!(voters::surplus(&all, &view, TARGET), None);
+    assert_eq!(voters::removable_voter(&all, &view, TARGET), None);
 }
--- a/crates/hibiscushoistd/src/controller.rs
+++ b/crates/hibiscushoistd/src/controller.rs
@@ -108,15 +108,15 @@
     fn ask_lease(&self) {
         let context = self.context.clone();
         let events = self.events.clone();
-        let ask = lease::Ask {
-            duration: LEASE_MS,
+        let ask = lease::Request {
+            duration_ms: LEASE_MS,
             holder: self.holder.clone(),
             name: LEASE.to_owned(),
         };
         tokio::spawn(async move {
             let asked = context.clock.now();
             if let Ok(lease::Answer::Granted(grant)) = context.voter.lease(ask).await {
-                let until = grant.until(asked);
+                let until = grant.expires_at(asked);
                 let fence = grant.fence;
                 let _ = events.send(Event::Leased { fence, until }).await;
             }
--- a/crates/hibiscushoistd/src/voter.rs
+++ b/crates/hibiscushoistd/src/voter.rs
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// Returns why the voters could not be reached.
-    pub async fn lease(&self, ask: lease::Ask) -> Result<lease::Answer, Error> {
+    pub async fn lease(&self, ask: lease::Request) -> Result<lease::Answer, Error> {
         match self.propose(Command::Lease(ask)).await? {
             Answer::Lease(answer) => Ok(answer),
             _ => Err(Error::Answer),
--- a/crates/hibiscushoistd/src/voter_upkeep.rs
+++ b/crates/hibiscushoistd/src/voter_upkeep.rs
@@ -96,7 +96,7 @@
             return Some(Change::Promote(*id));
         }
         let view = self.view.borrow().clone();
-        if let Some(gone) = voters::surplus(&status.config, &view, self.target) {
+        if let Some(gone) = voters::removable_voter(&status.config, &view, self.target) {
             return Some(Change::Remove(gone));
         }
         let mut hosts: BTreeMap<String, SocketAddr> = members
@@ -107,7 +107,11 @@
             let listed = self.voters.iter();
             hosts.extend(listed.map(|voter| (voter.name.clone(), voter.address)));
         }
-        hosts.extend(voters::successors(&status.config, &view, self.target));
+        hosts.extend(voters::replacement_hosts(
+            &status.config,
+            &view,
+            self.target,
+        ));
         for (name, address) in hosts.into_iter().filter(|(name, _)| *name != self.name) {
             let folder = self.folder(address).await.filter(|f| f.name == name);
             let change = folder.and_then(|folder| self.fitting(status, &folder, address));
