--- a/crates/coordination/examples/measure/run.rs
+++ b/crates/coordination/examples/measure/run.rs
@@ -24,7 +24,7 @@
 use coordination::broker::Effect;
 use coordination::broker::Event;
 use coordination::broker::Grant;
-use coordination::capacity::Standing;
+use coordination::engine_load::Standing;
 use coordination::placement_request::PlacementId;
 use coordination::report::Progress;
 use coordination::report::ProgressReport;
--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -14,11 +14,11 @@
 use crate::admission::Reason;
 use crate::admission::Refusal;
 use crate::admission::Rules;
-use crate::capacity::Bound;
-use crate::capacity::Class;
-use crate::capacity::Standing;
-use crate::capacity::Turn;
-use crate::capacity::Work;
+use crate::engine_load::BackupLimit;
+use crate::engine_load::Class;
+use crate::engine_load::Standing;
+use crate::engine_load::Turn;
+use crate::engine_load::Work;
 pub use crate::grant::Grant;
 pub use crate::placement_request::PlacementId;
 pub use crate::placement_request::PlacementRequest;
@@ -50,7 +50,7 @@
     /// Asks for a place.
     Arrival(PlacementRequest),
     /// Bounds the requests in flight on each upstream, for a broker that stands in for an owner.
-    Bound(Bound),
+    BackupLimit(BackupLimit),
     /// Brings changes of an upstream's cache.
     Cache {
         /// Holds the changes.
@@ -168,7 +168,7 @@
         let mut effects = Vec::new();
         match event {
             Event::Arrival(ask) => self.ask(ask, now, &mut effects),
-            Event::Bound(bound) => self.pool.bound(bound),
+            Event::BackupLimit(bound) => self.pool.bound(bound),
             Event::Cache { batch, upstream } => {
                 self.cache(batch, &upstream, now, &mut effects);
                 return effects;
--- a/crates/coordination/src/capacity.rs
+++ b/crates/coordination/src/engine_load.rs
@@ -39,14 +39,14 @@
 
 /// Bounds what one of several hosts that stand in for an owner may use of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Bound {
+pub struct BackupLimit {
     /// Gives how many hosts may stand in.
     pub hosts: u32,
     /// Gives the slots that each may use.
     pub slots: u32,
 }
 
-impl Bound {
+impl BackupLimit {
     /// Returns the part of a limit that one host may use; all parts together keep to the limit
     /// where it is at least the number of hosts.
     fn part(self, limit: u32) -> u32 {
@@ -106,8 +106,8 @@
 
 /// Tracks the load of one upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Capacity {
-    bound: Option<Bound>,
+pub struct EngineLoad {
+    bound: Option<BackupLimit>,
     loads: [Load; 2],
     epoch: u64,
     excess: u32,
@@ -120,9 +120,9 @@
     service_ms: Option<u64>,
 }
 
-impl Capacity {
+impl EngineLoad {
     /// Bounds the requests in flight below what the upstream and the table allow.
-    pub fn bound(&mut self, bound: Bound) {
+    pub fn bound(&mut self, bound: BackupLimit) {
         self.bound = Some(bound);
     }
 
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 
 use crate::admission;
-use crate::capacity::Bound;
-use crate::capacity::Capacity;
-use crate::capacity::Class;
-use crate::capacity::Standing;
-use crate::capacity::Work;
+use crate::engine_load::BackupLimit;
+use crate::engine_load::Class;
+use crate::engine_load::EngineLoad;
+use crate::engine_load::Standing;
+use crate::engine_load::Work;
 use crate::grant::Import;
 use crate::grant::SCORES;
 use crate::grant::Score;
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Upstream {
-    capacity: Capacity,
+    capacity: EngineLoad,
     domain: String,
     incarnation: Option<Incarnation>,
     listed: bool,
@@ -94,7 +94,7 @@
 /// Holds the upstreams of a broker.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    bound: Option<Bound>,
+    bound: Option<BackupLimit>,
     slots: BTreeMap<String, UpstreamIndex>,
     upstreams: Vec<Upstream>,
 }
@@ -181,7 +181,7 @@
     }
 
     /// Bounds the requests in flight on each upstream, for one of several that share it.
-    pub fn bound(&mut self, bound: Bound) {
+    pub fn bound(&mut self, bound: BackupLimit) {
         self.bound = Some(bound);
         for upstream in &mut self.upstreams {
             upstream.capacity.bound(bound);
--- a/crates/coordination/tests/broker.rs
+++ b/crates/coordination/tests/broker.rs
@@ -5,8 +5,8 @@
 use coordination::admission::Reason;
 use coordination::broker::Effect;
 use coordination::broker::Event;
-use coordination::capacity::Bound;
-use coordination::capacity::Standing;
+use coordination::engine_load::BackupLimit;
+use coordination::engine_load::Standing;
 use coordination::placement_request::PlacementId;
 use coordination::report::InFlightRequest;
 use coordination::report::Progress;
@@ -146,7 +146,7 @@
 fn stand_in_keeps_to_its_part_of_each_upstream() {
     for (limit, expected) in [(None, 4), (Some("8"), 2), (Some("1"), 2)] {
         let mut desk = Desk::new(&["a", "b"]);
-        desk.step(Event::Bound(Bound { hosts: 8, slots: 2 }));
+        desk.step(Event::BackupLimit(BackupLimit { hosts: 8, slots: 2 }));
         for upstream in ["a", "b"] {
             if let Some(limit) = limit {
                 desk.row(Sheet::Upstreams, upstream, &[(Column::Limit, limit)]);
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use coordination::capacity::Standing;
+use coordination::engine_load::Standing;
 use coordination::grant::Import;
 use coordination::placement_request::PlacementId;
 use coordination::report::Progress;
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use coordination::broker::Effect;
 use coordination::broker::Event;
 use coordination::broker::Grant;
-use coordination::capacity::Standing;
+use coordination::engine_load::Standing;
 use coordination::placement_request::PlacementId;
 use coordination::placement_request::PlacementRequest;
 use coordination::report::LoadReport;
--- a/crates/hibiscushoistd/src/broker.rs
+++ b/crates/hibiscushoistd/src/broker.rs
@@ -24,7 +24,7 @@
 use coordination::broker::PlacementId;
 use coordination::broker::PlacementRequest;
 use coordination::broker::ProgressReport;
-use coordination::capacity::Bound;
+use coordination::engine_load::BackupLimit;
 use coordination::shard;
 use coordination::view::View;
 use state::table::Table;
@@ -282,11 +282,11 @@
         let owned = shard::owned(&view, &table);
         let shards = u64::from(shard::count(&table));
         let hosts = view.hosts.len().max(1) as u64;
-        let bound = Bound {
+        let bound = BackupLimit {
             hosts: hosts as u32,
             slots: STAND_IN_SLOTS,
         };
-        self.step(Part::StandIn, Event::Bound(bound));
+        self.step(Part::StandIn, Event::BackupLimit(bound));
         self.step(Part::Own, Event::Share(THOUSANDTHS / shards));
         self.step(Part::StandIn, Event::Share(THOUSANDTHS / hosts));
         let event = Event::Table {
--- a/crates/hibiscushoistd/src/feed.rs
+++ b/crates/hibiscushoistd/src/feed.rs
@@ -13,7 +13,7 @@
 
 use crate::context::Context;
 use coordination::broker::Event;
-use coordination::capacity;
+use coordination::engine_load;
 use coordination::liveness::Change as LivenessChange;
 use coordination::liveness::Listed;
 use coordination::liveness::Signal;
@@ -147,7 +147,7 @@
     resync: Arc<Notify>,
     serving: bool,
     session: Session,
-    told: Option<capacity::Standing>,
+    told: Option<engine_load::Standing>,
     tracker: Tracker,
     upstream: String,
 }
@@ -247,7 +247,7 @@
     /// loads weights gets none.
     fn stand(&mut self) {
         let standing = match standing(self.tracker.standing()) {
-            Some(capacity::Standing::Usable) if !self.serving => capacity::Standing::Leaving,
+            Some(engine_load::Standing::Usable) if !self.serving => engine_load::Standing::Leaving,
             Some(standing) => standing,
             None => return,
         };
@@ -309,12 +309,12 @@
 }
 
 /// Returns the broker's word for a standing, where the broker is to be told of it.
-fn standing(standing: Standing) -> Option<capacity::Standing> {
+fn standing(standing: Standing) -> Option<engine_load::Standing> {
     match standing {
-        Standing::Down => Some(capacity::Standing::Dead),
-        Standing::Leaving => Some(capacity::Standing::Leaving),
-        Standing::Serving => Some(capacity::Standing::Usable),
-        Standing::Suspect => Some(capacity::Standing::Ejected),
+        Standing::Down => Some(engine_load::Standing::Dead),
+        Standing::Leaving => Some(engine_load::Standing::Leaving),
+        Standing::Serving => Some(engine_load::Standing::Usable),
+        Standing::Suspect => Some(engine_load::Standing::Ejected),
         Standing::Unknown => None,
     }
 }
