--- a/crates/coordination/src/desired.rs
+++ b/crates/coordination/src/desired_state.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::serving::Action;
-use crate::serving::Standing;
+use crate::engine_state::Action;
+use crate::engine_state::EngineState;
 use state::column::Column;
 use state::row::Row;
 use state::sheet::Sheet;
@@ -33,7 +33,7 @@
 
 impl Goal {
     /// Returns the next order that leads from `standing` to this goal.
-    pub fn step(&self, standing: &Standing) -> Option<Action> {
+    pub fn next_action(&self, standing: &EngineState) -> Option<Action> {
         let serves = standing.model == self.model
             && standing.version == self.version
             && standing.adapter == self.adapter;
@@ -51,17 +51,17 @@
 
 /// Holds the goals of all engines.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Desired {
+pub struct DesiredState {
     /// Maps the names of engines to their goals.
     pub goals: BTreeMap<String, Goal>,
     /// Maps the names of models to how many engines must go on serving them.
     pub minimum_serving: BTreeMap<String, u64>,
 }
 
-impl Desired {
+impl DesiredState {
     /// Reads the goals from the table; an engine that leaves, is off or has no
     /// model in the table has none.
-    pub fn of(table: &Table) -> Self {
+    pub fn from_table(table: &Table) -> Self {
         let minimum = |(name, row): (&str, &Row)| {
             let minimum = row.number(Column::MinimumServing);
             (name.to_owned(), minimum.unwrap_or(DEFAULT_MINIMUM_SERVING))
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether no roll-out of others can ever let an engine go.
-    pub fn waits_for_nobody(&self, name: &str) -> bool {
+    pub fn is_always_needed(&self, name: &str) -> bool {
         let Some(goal) = self.goals.get(name) else {
             return false;
         };
--- a/crates/coordination/src/serving.rs
+++ b/crates/coordination/src/engine_state.rs
@@ -2,7 +2,7 @@
 
 /// Describes what an engine serves, as it said itself.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Standing {
+pub struct EngineState {
     /// Names the adapter, if any.
     pub adapter: Option<String>,
     /// Names the version being loaded, if any.
--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -13,10 +13,10 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-use crate::desired::Desired;
-use crate::desired::Goal;
-use crate::serving::Action;
-use crate::serving::Standing;
+use crate::desired_state::DesiredState;
+use crate::desired_state::Goal;
+use crate::engine_state::Action;
+use crate::engine_state::EngineState;
 use state::time::Instant;
 
 /// Bounds the time that an order or a read may take, in milliseconds.
@@ -65,12 +65,12 @@
     /// Tells what an engine said of itself, or that it did not answer.
     Read {
         /// Holds what it said.
-        standing: Option<Standing>,
+        standing: Option<EngineState>,
         /// Names the engine.
         upstream: String,
     },
     /// Brings what the table asks for.
-    Table(Desired),
+    Table(DesiredState),
     /// Lets time pass.
     Tick,
 }
@@ -121,7 +121,7 @@
     held: Instant,
     next: Instant,
     phase: Phase,
-    standing: Option<Standing>,
+    standing: Option<EngineState>,
     stuck: bool,
     tries: u32,
 }
@@ -144,7 +144,7 @@
 /// Steps through roll-outs.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
-    desired: Desired,
+    desired: DesiredState,
     effects: Vec<Effect>,
     engines: BTreeMap<String, Engine>,
     lease: Option<Lease>,
@@ -183,7 +183,7 @@
         }
     }
 
-    fn desire(&mut self, desired: Desired) {
+    fn desire(&mut self, desired: DesiredState) {
         self.desired = desired;
         let goals = &self.desired.goals;
         self.engines.retain(|name, _| goals.contains_key(name));
@@ -221,7 +221,7 @@
         }
     }
 
-    fn read(&mut self, standing: Option<Standing>, upstream: &str) {
+    fn read(&mut self, standing: Option<EngineState>, upstream: &str) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(upstream) else {
             return;
@@ -232,7 +232,7 @@
         engine.phase = Phase::Resting;
         engine.at = now;
         let goal = self.desired.goals.get(upstream);
-        let serves = |s: &Standing| goal.is_some_and(|goal| goal.step(s).is_none());
+        let serves = |s: &EngineState| goal.is_some_and(|goal| goal.next_action(s).is_none());
         engine.next = match standing.as_ref().is_some_and(serves) {
             false => now + READ_PERIOD_MS,
             true => now + SETTLED_READ_PERIOD_MS,
@@ -262,7 +262,7 @@
         let reached = engine
             .standing
             .as_ref()
-            .is_some_and(|s| goal.step(s).is_none());
+            .is_some_and(|s| goal.next_action(s).is_none());
         if reached && engine.tries > 0 {
             engine.tries = 0;
             self.tell(Step::Done, upstream);
@@ -296,7 +296,7 @@
             let Some(standing) = engine.and_then(|engine| engine.standing.as_ref()) else {
                 continue;
             };
-            if goal.step(standing).is_some() {
+            if goal.next_action(standing).is_some() {
                 models.insert(standing.model.clone());
             }
         }
@@ -308,7 +308,7 @@
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let moves = |standing: &Standing| moving.contains(&standing.model);
+        let moves = |standing: &EngineState| moving.contains(&standing.model);
         if engine.standing.as_ref().is_some_and(moves) {
             engine.next = engine.next.min(engine.at + READ_PERIOD_MS);
         }
@@ -372,7 +372,7 @@
         };
         let fresh = engine.at >= settled && self.now.since(engine.at) < READ_PERIOD_MS;
         let ready = engine.phase == Phase::Resting && standing.loading.is_none();
-        (fresh && ready && self.now >= engine.held).then(|| goal.step(standing))?
+        (fresh && ready && self.now >= engine.held).then(|| goal.next_action(standing))?
     }
 
     /// Returns whether one more engine may load the model of `goal`.
@@ -413,7 +413,7 @@
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        if !engine.blocked && self.desired.waits_for_nobody(name) {
+        if !engine.blocked && self.desired.is_always_needed(name) {
             engine.blocked = true;
             self.tell(Step::Blocked, name);
         }
--- a/crates/coordination/tests/rollout.rs
+++ b/crates/coordination/tests/rollout.rs
@@ -6,16 +6,16 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use coordination::desired::Desired;
-use coordination::desired::Goal;
+use coordination::desired_state::DesiredState;
+use coordination::desired_state::Goal;
+use coordination::engine_state::Action;
+use coordination::engine_state::EngineState;
 use coordination::rollout::CALL_TIMEOUT_MS;
 use coordination::rollout::Effect;
 use coordination::rollout::Event;
 use coordination::rollout::Reply;
 use coordination::rollout::Rollout;
 use coordination::rollout::Step;
-use coordination::serving::Action;
-use coordination::serving::Standing;
 use state::column::Column;
 use state::edit;
 use state::edit::Edit;
@@ -46,7 +46,7 @@
 
 struct World {
     controllers: Vec<Option<Rollout>>,
-    desired: Desired,
+    desired: DesiredState,
     engines: Vec<Engine>,
     fence: u64,
     holder: Option<(usize, u64)>,
@@ -80,10 +80,10 @@
     }
 }
 
-fn desired(engines: &[Engine], version: &str, minimum: u64) -> Desired {
+fn desired(engines: &[Engine], version: &str, minimum: u64) -> DesiredState {
     let goals = engines.iter().enumerate();
     let goals = goals.map(|(p, e)| (name(p), goal("m", version, e.checks_fence)));
-    Desired {
+    DesiredState {
         goals: goals.collect(),
         minimum_serving: BTreeMap::from([("m".to_owned(), minimum)]),
     }
@@ -275,11 +275,11 @@
             }
             Delivery::Read(place, engine) => {
                 let state = &self.engines[engine];
-                let standing = Standing {
+                let standing = EngineState {
                     loading: state.ready.as_ref().map(|(_, version)| version.clone()),
                     model: state.model.clone(),
                     version: state.version.clone(),
-                    ..Standing::default()
+                    ..EngineState::default()
                 };
                 let standing = (!lost && !state.dead).then_some(standing);
                 let upstream = name(engine);
@@ -463,7 +463,7 @@
         ];
         add(&mut table, Sheet::Upstreams, row, &cells);
     }
-    let desired = Desired::of(&table);
+    let desired = DesiredState::from_table(&table);
     let names: Vec<&String> = desired.goals.keys().collect();
     assert_eq!(names, ["u0"]);
 }
@@ -504,7 +504,7 @@
         ("checks".to_owned(), goal("m", "v2", true)),
         ("trusts".to_owned(), goal("m", "v2", false)),
     ]);
-    let desired = Desired {
+    let desired = DesiredState {
         goals,
         minimum_serving: BTreeMap::new(),
     };
@@ -522,10 +522,10 @@
                     first.entry(upstream).or_insert(now);
                 }
                 Effect::Read(upstream) => {
-                    let standing = Some(Standing {
+                    let standing = Some(EngineState {
                         model: "m".to_owned(),
                         version: "v1".to_owned(),
-                        ..Standing::default()
+                        ..EngineState::default()
                     });
                     controller.step(Instant(now), Event::Read { standing, upstream });
                 }
@@ -571,10 +571,10 @@
     let early = controller.step(Instant(10_000 - CALL_TIMEOUT_MS - 1), Event::Tick);
     assert_eq!(early.len(), ENGINES);
     for upstream in (0..ENGINES).map(name) {
-        let standing = Some(Standing {
+        let standing = Some(EngineState {
             model: "m".to_owned(),
             version: "v1".to_owned(),
-            ..Standing::default()
+            ..EngineState::default()
         });
         let now = Instant(10_000 - CALL_TIMEOUT_MS - 1);
         controller.step(now, Event::Read { standing, upstream });
--- a/crates/hibiscushoistd/src/controller.rs
+++ b/crates/hibiscushoistd/src/controller.rs
@@ -8,7 +8,9 @@
 
 use crate::context::Context;
 use crate::settings::Role;
-use coordination::desired::Desired;
+use coordination::desired_state::DesiredState;
+use coordination::engine_state;
+use coordination::engine_state::EngineState;
 use coordination::lease;
 use coordination::rollout;
 use coordination::rollout::Effect;
@@ -16,8 +18,6 @@
 use coordination::rollout::Reply;
 use coordination::rollout::Rollout;
 use coordination::rollout::Step;
-use coordination::serving;
-use coordination::serving::Standing;
 use protocol::engine;
 use protocol::engine::Code;
 use state::column::Column;
@@ -52,7 +52,9 @@
         rollout: Rollout::default(),
     };
     let mut table = context.voter.table();
-    controller.step(Event::Table(Desired::of(&table.borrow_and_update())));
+    controller.step(Event::Table(DesiredState::from_table(
+        &table.borrow_and_update(),
+    )));
     let mut lease_due = Instant::now();
     loop {
         if Instant::now() >= lease_due && !*context.draining.borrow() {
@@ -65,7 +67,7 @@
                 if changed.is_err() {
                     return;
                 }
-                Event::Table(Desired::of(&table.borrow_and_update()))
+                Event::Table(DesiredState::from_table(&table.borrow_and_update()))
             }
             () = tokio::time::sleep(TICK) => Event::Tick,
         };
@@ -177,8 +179,8 @@
     }
 }
 
-fn read(standing: engine::Standing) -> Standing {
-    Standing {
+fn read(standing: engine::Standing) -> EngineState {
+    EngineState {
         adapter: standing.adapter,
         loading: standing.loading,
         model: standing.model,
@@ -198,9 +200,9 @@
     }
 }
 
-fn wire(action: serving::Action) -> engine::Action {
+fn wire(action: engine_state::Action) -> engine::Action {
     match action {
-        serving::Action::Load {
+        engine_state::Action::Load {
             adapter,
             model,
             version,
@@ -209,6 +211,6 @@
             model,
             version,
         },
-        serving::Action::Role(role) => engine::Action::Role(role),
+        engine_state::Action::Role(role) => engine::Action::Role(role),
     }
 }
