--- a/crates/coordination/examples/election.rs
+++ b/crates/coordination/examples/election.rs
@@ -2,11 +2,11 @@
 //!
 //! Run with `cargo run --release -p coordination --example election`.
 
-#[path = "../tests/sim/mod.rs"]
-mod sim;
+#[path = "../tests/raft_sim/mod.rs"]
+mod raft_sim;
 
-use crate::sim::Flaw;
-use crate::sim::Sim;
+use crate::raft_sim::Flaw;
+use crate::raft_sim::Sim;
 
 const ELECTION_MS: u64 = 200;
 const LIMIT_MS: u64 = 60_000;
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -1,12 +1,9 @@
 //! Long prompts that many hosts place at the same moment, with and without a host that assigns.
 
-mod clockwork;
+mod upstream_fixtures;
 
 use std::collections::BTreeMap;
 
-use clockwork::engines;
-use clockwork::fleet;
-use clockwork::unread;
 use coordination::assignment::Ask;
 use coordination::assignment::Desk;
 use coordination::choice::Choice;
@@ -18,6 +15,9 @@
 use coordination::upstream_load::LoadAggregator;
 use coordination::upstream_load::UpstreamLoads;
 use state::time::Instant;
+use upstream_fixtures::engines;
+use upstream_fixtures::fleet;
+use upstream_fixtures::pending_prefill;
 
 const ENGINES: usize = 40;
 const PROMPTS: usize = 30;
@@ -153,10 +153,10 @@
     let prompt = demand("p").prompt(1).unwrap();
     let place = Place::Engine("e".to_owned());
     desk.reported(Instant(0), &[], &[Holding { place, prompt }]);
-    let loads = UpstreamLoads::from([("e".to_owned(), unread(40_000))]);
+    let loads = UpstreamLoads::from([("e".to_owned(), pending_prefill(40_000))]);
     let choice = desk.assign(Instant(1), &fleet, &loads, ask("p")).unwrap();
     assert_eq!(choice.upstream.id, "f");
-    assert_eq!(choice.fetch, Some(clockwork::address("e")));
+    assert_eq!(choice.fetch, Some(upstream_fixtures::address("e")));
 }
 
 #[test]
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -1,16 +1,12 @@
 //! Where routed requests go, under the loads that decide it.
 
-mod clockwork;
+mod upstream_fixtures;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
 use assert_matches::assert_matches;
 
-use clockwork::address;
-use clockwork::engines;
-use clockwork::fleet;
-use clockwork::unread;
 use coordination::choice::Choice;
 use coordination::choice::Rank;
 use coordination::choice::Refusal;
@@ -20,6 +16,10 @@
 use coordination::upstream::Standing;
 use coordination::upstream_load::UpstreamLoad;
 use state::time::Instant;
+use upstream_fixtures::address;
+use upstream_fixtures::engines;
+use upstream_fixtures::fleet;
+use upstream_fixtures::pending_prefill;
 
 const STORE: &str = "store";
 
@@ -75,7 +75,7 @@
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
     let mut run = host.sent(Instant(0), &first, &demand);
-    let others = BTreeMap::from([(first.upstream.id.clone(), unread(50_000))]);
+    let others = BTreeMap::from([(first.upstream.id.clone(), pending_prefill(50_000))]);
     host.heard_of(Instant(1), others.clone());
     let early = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&early));
@@ -114,7 +114,7 @@
     let mut told = Dispatch::new(0);
     let demand = long("p");
     let choice = alone.choose(Instant(0), &fleet, &demand).unwrap();
-    let busy = unread(20_000);
+    let busy = pending_prefill(20_000);
     let hosts = [&mut alone, &mut told];
     let runs = hosts.map(|host| {
         host.heard_of(Instant(0), BTreeMap::from([(id(&choice).to_owned(), busy)]));
@@ -173,7 +173,7 @@
     };
     for (ahead, stays) in [(0, true), (5_000, true), (6_000, false)] {
         let mut host = Dispatch::new(0);
-        let busy = open.map(|id| (id.to_owned(), unread(ahead)));
+        let busy = open.map(|id| (id.to_owned(), pending_prefill(ahead)));
         host.heard_of(Instant(0), BTreeMap::from(busy));
         for draw in 0..200 {
             let draw = u64::wrapping_mul(draw, 0x9E37_79B9_7F4A_7C15);
@@ -187,7 +187,7 @@
 fn a_prompt_waits_while_all_engines_have_much_to_read() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut host = Dispatch::new(0);
-    let busy = ["a", "b"].map(|id| (id.to_owned(), unread(40_000)));
+    let busy = ["a", "b"].map(|id| (id.to_owned(), pending_prefill(40_000)));
     host.heard_of(Instant(0), BTreeMap::from(busy));
     let refusal = host.choose(Instant(1), &fleet, &long("p"));
     assert_eq!(refusal, Err(Refusal::Busy));
@@ -197,7 +197,7 @@
 fn a_prompt_that_is_late_lets_those_in_time_go_first() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatch::new(0);
-    let busy = BTreeMap::from([("a".to_owned(), unread(15_000))]);
+    let busy = BTreeMap::from([("a".to_owned(), pending_prefill(15_000))]);
     host.heard_of(Instant(0), busy);
     let late = Demand {
         goal_ms: 0,
@@ -217,7 +217,7 @@
     for (idle, placed) in [(4, true), (3, true), (2, false), (1, false)] {
         let mut host = Dispatch::new(0);
         let busy = fleet.upstreams.iter().skip(idle);
-        let busy = busy.map(|engine| (engine.id.clone(), unread(40_000)));
+        let busy = busy.map(|engine| (engine.id.clone(), pending_prefill(40_000)));
         host.heard_of(Instant(0), busy.collect());
         let choice = host.choose(Instant(1), &fleet, &late);
         assert_eq!(choice.is_ok(), placed, "{idle} idle");
@@ -235,7 +235,7 @@
     host.answered(Instant(300), &mut run);
     host.read(Instant(300), &mut run);
     host.ended(&run);
-    let busy = BTreeMap::from([("a".to_owned(), unread(30_000))]);
+    let busy = BTreeMap::from([("a".to_owned(), pending_prefill(30_000))]);
     host.heard_of(Instant(300), busy);
     assert_matches!(host.choose(Instant(301), &fleet, &demand), Ok(_));
     let unknown = host.choose(Instant(301), &fleet, &long("q"));
@@ -248,7 +248,7 @@
     let mut host = Dispatch::new(0);
     let demand = long("p");
     let ranked = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let busy = BTreeMap::from([(id(&ranked).to_owned(), unread(50_000))]);
+    let busy = BTreeMap::from([(id(&ranked).to_owned(), pending_prefill(50_000))]);
     host.heard_of(Instant(1), busy);
     let reader = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_ne!(id(&reader), id(&ranked));
@@ -259,7 +259,7 @@
     host.heard_of(Instant(401), BTreeMap::new());
     let again = host.choose(Instant(402), &fleet, &demand).unwrap();
     assert_eq!(id(&again), id(&reader), "it has the prompt");
-    let busy = BTreeMap::from([(id(&reader).to_owned(), unread(50_000))]);
+    let busy = BTreeMap::from([(id(&reader).to_owned(), pending_prefill(50_000))]);
     host.heard_of(Instant(403), busy);
     let late = host.choose(Instant(404), &fleet, &demand).unwrap();
     assert_eq!(id(&late), id(&ranked), "it would be late where it was read");
@@ -271,7 +271,7 @@
     let mut host = Dispatch::new(seed);
     let mut loads = BTreeMap::new();
     while let Ok(choice) = host.choose(Instant(0), fleet, &long(part)) {
-        loads.insert(id(&choice).to_owned(), unread(50_000));
+        loads.insert(id(&choice).to_owned(), pending_prefill(50_000));
         host.heard_of(Instant(0), loads.clone());
     }
     loads.into_keys().collect()
@@ -307,7 +307,7 @@
         prompt_tokens: 80_000,
         ..long("p")
     };
-    let load = |tokens| BTreeMap::from([("a".to_owned(), unread(tokens))]);
+    let load = |tokens| BTreeMap::from([("a".to_owned(), pending_prefill(tokens))]);
     host.heard_of(Instant(0), load(20_000));
     assert_eq!(host.choose(Instant(0), &fleet, &huge), Err(Refusal::Busy));
     host.heard_of(Instant(1), load(4_000));
@@ -341,7 +341,7 @@
         prompt_tokens: 30_000,
         ..long("p")
     };
-    let load = |tokens| BTreeMap::from([("new".to_owned(), unread(tokens))]);
+    let load = |tokens| BTreeMap::from([("new".to_owned(), pending_prefill(tokens))]);
     assert_eq!(
         id(&host.choose(Instant(0), &fleet, &demand).unwrap()),
         "new"
@@ -362,7 +362,7 @@
         ..long("p")
     };
     assert!(host.offers(Instant(0), &fleet, &moved));
-    let busy = BTreeMap::from([("b".to_owned(), unread(90_000))]);
+    let busy = BTreeMap::from([("b".to_owned(), pending_prefill(90_000))]);
     host.heard_of(Instant(0), busy);
     assert!(!host.offers(Instant(0), &fleet, &moved));
     let exact = Demand {
@@ -376,7 +376,7 @@
 fn what_cannot_begin_before_the_caller_leaves_is_refused_at_once() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatch::new(0);
-    let busy = BTreeMap::from([("a".to_owned(), unread(200_000))]);
+    let busy = BTreeMap::from([("a".to_owned(), pending_prefill(200_000))]);
     host.heard_of(Instant(0), busy);
     let hurried = Demand {
         left_ms: 1_000,
@@ -390,7 +390,7 @@
 fn what_others_have_under_way_is_forgotten_when_nobody_tells_it_again() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatch::new(0);
-    let busy = BTreeMap::from([("a".to_owned(), unread(40_000))]);
+    let busy = BTreeMap::from([("a".to_owned(), pending_prefill(40_000))]);
     host.heard_of(Instant(0), busy);
     assert_matches!(host.choose(Instant(1_001), &fleet, &long("p")), Ok(_));
 }
@@ -473,7 +473,7 @@
     let demand = long("p");
     let choice = host.choose(Instant(0), &old, &demand).unwrap();
     let _ = host.sent(Instant(0), &choice, &demand);
-    let busy = BTreeMap::from([(choice.upstream.id.clone(), unread(40_000))]);
+    let busy = BTreeMap::from([(choice.upstream.id.clone(), pending_prefill(40_000))]);
     host.heard_of(Instant(1), busy);
     let next = host.choose(Instant(2), &new, &demand).unwrap();
     assert_ne!(id(&next), id(&choice));
--- a/crates/coordination/tests/faults.rs
+++ b/crates/coordination/tests/faults.rs
@@ -1,14 +1,14 @@
 //! Holds the fault tables: a row a fault, with what must come of it.
 
-mod sim;
+mod raft_sim;
 
 use std::collections::BTreeMap;
 
-use crate::sim::Flaw;
-use crate::sim::Reply;
-use crate::sim::Request;
-use crate::sim::Sim;
-use crate::sim::Weather;
+use crate::raft_sim::FaultRates;
+use crate::raft_sim::Flaw;
+use crate::raft_sim::Reply;
+use crate::raft_sim::Request;
+use crate::raft_sim::Sim;
 use coordination::quorum::MemberId;
 use coordination::raft::Effect;
 use coordination::raft::Event;
@@ -154,9 +154,9 @@
     },
     Row {
         expected: Expected::Serves(REPAIR_LIMIT),
-        fault: |sim| sim.weather = Weather::STORM,
+        fault: |sim| sim.fault_rates = FaultRates::STORM,
         name: "messages are lost, late and doubled, and disks are slow",
-        repair: |sim| sim.weather = Weather::CALM,
+        repair: |sim| sim.fault_rates = FaultRates::CALM,
     },
 ];
 
@@ -203,7 +203,7 @@
                 Expected::Serves(limit) => limit,
                 Expected::Waits(limit) => {
                     sim.run(ELECTION_LIMIT);
-                    let leads = |host: &sim::Host| {
+                    let leads = |host: &raft_sim::Host| {
                         let raft = host.raft.as_ref();
                         raft.is_some_and(|raft| raft.role() == Role::Leader)
                     };
--- a/crates/coordination/tests/schedule/mod.rs
+++ b/crates/coordination/tests/gossip_sim/mod.rs
@@ -27,7 +27,7 @@
 
 /// Tells how a host fares.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum HostState {
     /// Runs and answers.
     Runs,
     /// Stands still and keeps its state.
@@ -38,7 +38,7 @@
 
 struct Slot {
     detector: Membership,
-    fate: Fate,
+    fate: HostState,
     runs: u64,
 }
 
@@ -94,7 +94,7 @@
             let detector = fleet.detector(place, 1);
             fleet.slots.push(Slot {
                 detector,
-                fate: Fate::Runs,
+                fate: HostState::Runs,
                 runs: 1,
             });
             let offset = fleet.rng.random_range(0..TICK_MS);
@@ -129,7 +129,7 @@
 
     /// Returns whether every running host holds exactly the running hosts to be present and
     /// suspects none.
-    pub fn agrees(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let running: Vec<usize> = self.running();
         let digest = |place: &usize| self.slots[*place].detector.digest();
         let first = digest(&running[0]);
@@ -148,12 +148,12 @@
     pub fn running(&self) -> Vec<usize> {
         let places = 0..self.slots.len();
         places
-            .filter(|p| self.slots[*p].fate == Fate::Runs)
+            .filter(|p| self.slots[*p].fate == HostState::Runs)
             .collect()
     }
 
     /// Changes how a host fares.
-    pub fn set(&mut self, place: usize, fate: Fate) {
+    pub fn set_state(&mut self, place: usize, fate: HostState) {
         self.slots[place].fate = fate;
     }
 
@@ -162,7 +162,7 @@
         let runs = self.slots[place].runs + 1;
         self.slots[place] = Slot {
             detector: self.detector(place, runs),
-            fate: Fate::Runs,
+            fate: HostState::Runs,
             runs,
         };
     }
@@ -170,7 +170,7 @@
     /// Starts a process on a host whose clock lies behind that of its earlier run.
     pub fn restart_with_old_clock(&mut self, place: usize) {
         self.slots[place].detector = self.detector(place, 0);
-        self.slots[place].fate = Fate::Runs;
+        self.slots[place].fate = HostState::Runs;
     }
 
     /// Drops what goes from one host to another.
@@ -179,7 +179,7 @@
     }
 
     /// Drops what goes between two sets of hosts.
-    pub fn part(&mut self, one: &[usize], other: &[usize]) {
+    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         for (a, b) in one.iter().flat_map(|a| other.iter().map(move |b| (*a, *b))) {
             self.cut(a, b);
             self.cut(b, a);
@@ -187,21 +187,21 @@
     }
 
     /// Mends all links.
-    pub fn mend(&mut self) {
+    pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
     /// Hands an event to a host.
-    pub fn tell(&mut self, place: usize, event: Event) {
+    pub fn deliver_event(&mut self, place: usize, event: Event) {
         let effects = self.slots[place].detector.step(Instant(self.now), event);
         self.apply(place, effects);
     }
 
     /// Hands a message of another host to a host and drops the answer.
-    pub fn hand(&mut self, place: usize, message: Message) {
+    pub fn deliver_message(&mut self, place: usize, message: Message) {
         self.sequence += 1;
         self.asked.insert(self.sequence, (place, CallId(u64::MAX)));
-        self.tell(place, Event::Called(InboundCallId(self.sequence), message));
+        self.deliver_event(place, Event::Called(InboundCallId(self.sequence), message));
     }
 
     /// Lets `millis` pass.
@@ -240,8 +240,8 @@
         if let Delivery::Tick = delivery {
             self.schedule(TICK_MS, place, Delivery::Tick);
         }
-        if self.slots[place].fate != Fate::Runs {
-            if let (Delivery::Ask { call, from, .. }, Fate::Killed) =
+        if self.slots[place].fate != HostState::Runs {
+            if let (Delivery::Ask { call, from, .. }, HostState::Killed) =
                 (delivery, self.slots[place].fate)
                 && !self.cuts.contains(&(place, from))
             {
@@ -256,7 +256,7 @@
                 from,
             } => {
                 if !self.cuts.contains(&(from, place)) {
-                    self.tell(place, Event::Answered(call, message));
+                    self.deliver_event(place, Event::Answered(call, message));
                 }
             }
             Delivery::Ask {
@@ -266,10 +266,10 @@
             } => {
                 self.sequence += 1;
                 self.asked.insert(self.sequence, (from, call));
-                self.tell(place, Event::Called(InboundCallId(self.sequence), message));
+                self.deliver_event(place, Event::Called(InboundCallId(self.sequence), message));
             }
-            Delivery::Fail(call) => self.tell(place, Event::Failed(call)),
-            Delivery::Tick => self.tell(place, Event::Tick),
+            Delivery::Fail(call) => self.deliver_event(place, Event::Failed(call)),
+            Delivery::Tick => self.deliver_event(place, Event::Tick),
         }
     }
 
--- a/crates/coordination/tests/history.rs
+++ b/crates/coordination/tests/history.rs
@@ -2,7 +2,7 @@
 //!
 //! `HISTORY_SEEDS` sets how many seeds are run, `HISTORY_FIRST` the first of them.
 
-mod sim;
+mod raft_sim;
 
 use std::panic;
 use std::panic::AssertUnwindSafe;
@@ -10,10 +10,10 @@
 
 use rand::RngExt;
 
-use crate::sim::Flaw;
-use crate::sim::Sim;
-use crate::sim::Weather;
-use crate::sim::client::Clients;
+use crate::raft_sim::FaultRates;
+use crate::raft_sim::Flaw;
+use crate::raft_sim::Sim;
+use crate::raft_sim::client::Clients;
 
 const FAULTS_END: u64 = 6_000;
 const FLAWED_SEEDS: u64 = 4_000;
@@ -52,8 +52,8 @@
             sim.cut(target, true, true);
             *heal = until;
         }
-        5 => sim.weather = Weather::STORM,
-        6 => sim.weather = Weather::CALM,
+        5 => sim.fault_rates = FaultRates::STORM,
+        6 => sim.fault_rates = FaultRates::CALM,
         _ if sim.whole() => sim.lose_disk(target),
         _ => {}
     }
@@ -85,7 +85,7 @@
         sim.run(STEP);
     }
     sim.blocked.clear();
-    sim.weather = Weather::CALM;
+    sim.fault_rates = FaultRates::CALM;
     for (_, host) in restarts {
         if sim.hosts[host].raft.is_none() {
             sim.start(host);
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,12 +1,12 @@
 //! Tests of the failure detector under seeded schedules of faults.
 
 mod common;
-mod schedule;
+mod gossip_sim;
 
 use common::address;
 use common::name;
-use schedule::Fate;
-use schedule::Fleet;
+use gossip_sim::Fleet;
+use gossip_sim::HostState;
 
 use coordination::gossip::Change;
 use coordination::gossip::Event;
@@ -20,7 +20,7 @@
 
 fn joined(hosts: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::start(hosts, seed);
-    let took = fleet.run_until(JOIN_MS, Fleet::agrees);
+    let took = fleet.run_until(JOIN_MS, Fleet::has_converged);
     assert!(
         took.is_some(),
         "seed {seed}: the hosts do not find each other"
@@ -48,17 +48,17 @@
         standing: Standing::Alive,
     },
     Case {
-        fault: |fleet| fleet.set(5, Fate::Killed),
+        fault: |fleet| fleet.set_state(5, HostState::Killed),
         name: "killed",
         standing: Standing::Dead,
     },
     Case {
-        fault: |fleet| fleet.set(5, Fate::Frozen),
+        fault: |fleet| fleet.set_state(5, HostState::Frozen),
         name: "frozen",
         standing: Standing::Dead,
     },
     Case {
-        fault: |fleet| fleet.part(&[5], &[0, 1, 2, 3, 4, 6, 7]),
+        fault: |fleet| fleet.partition(&[5], &[0, 1, 2, 3, 4, 6, 7]),
         name: "cut off both ways",
         standing: Standing::Dead,
     },
@@ -73,7 +73,7 @@
         standing: Standing::Dead,
     },
     Case {
-        fault: |fleet| fleet.part(&[5], &[0, 1, 2]),
+        fault: |fleet| fleet.partition(&[5], &[0, 1, 2]),
         name: "cut off from three of seven",
         standing: Standing::Alive,
     },
@@ -93,15 +93,15 @@
         standing: Standing::Alive,
     },
     Case {
-        fault: |fleet| fleet.tell(5, Event::Drain),
+        fault: |fleet| fleet.deliver_event(5, Event::Drain),
         name: "draining",
         standing: Standing::Alive,
     },
     Case {
         fault: |fleet| {
-            fleet.tell(5, Event::Leave);
+            fleet.deliver_event(5, Event::Leave);
             fleet.run(300);
-            fleet.set(5, Fate::Killed);
+            fleet.set_state(5, HostState::Killed);
         },
         name: "left",
         standing: Standing::Left,
@@ -136,8 +136,8 @@
 fn a_fault_of_one_host_never_kills_another() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.set(3, Fate::Frozen);
-        fleet.set(6, Fate::Killed);
+        fleet.set_state(3, HostState::Frozen);
+        fleet.set_state(6, HostState::Killed);
         fleet.run(30_000);
         for (at, _, change) in &fleet.changes {
             if let Change::Died(host) | Change::Suspected(host) = change {
@@ -159,7 +159,7 @@
         let view = fleet.view(0);
         assert!(!view.get(name(5)).unwrap().reachable, "seed {seed}");
         assert!(fleet.view(1).get(name(5)).unwrap().reachable, "seed {seed}");
-        fleet.mend();
+        fleet.heal();
         fleet.run(30_000);
         assert!(fleet.view(0).get(name(5)).unwrap().reachable, "seed {seed}");
     }
@@ -169,13 +169,13 @@
 fn a_frozen_host_comes_back_after_an_hour_and_kills_nobody() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.set(5, Fate::Frozen);
+        fleet.set_state(5, HostState::Frozen);
         fleet.run(3_600_000);
         assert_eq!(fleet.standing(0, 5), Some(Standing::Dead));
         fleet.changes.clear();
-        fleet.set(5, Fate::Runs);
+        fleet.set_state(5, HostState::Runs);
         assert!(
-            fleet.run_until(NOTICE_MS, Fleet::agrees).is_some(),
+            fleet.run_until(NOTICE_MS, Fleet::has_converged).is_some(),
             "seed {seed}"
         );
         assert_eq!(
@@ -190,14 +190,14 @@
 fn a_host_that_is_cut_off_knows_it_and_holds_nobody_dead() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.part(&[5], &[0, 1, 2, 3, 4, 6, 7]);
+        fleet.partition(&[5], &[0, 1, 2, 3, 4, 6, 7]);
         fleet.run(60_000);
         let view = fleet.view(5);
         assert!(view.isolated, "seed {seed}");
         assert_eq!(view.count(Standing::Dead), 0, "seed {seed}");
-        fleet.mend();
+        fleet.heal();
         assert!(
-            fleet.run_until(JOIN_MS, Fleet::agrees).is_some(),
+            fleet.run_until(JOIN_MS, Fleet::has_converged).is_some(),
             "seed {seed}"
         );
         assert!(!fleet.view(5).isolated, "seed {seed}");
@@ -208,13 +208,13 @@
 fn two_sides_of_a_cut_of_an_hour_meet_again() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.part(&[0, 1, 2, 3], &[4, 5, 6, 7]);
+        fleet.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
         fleet.run(3_600_000);
         assert_eq!(fleet.standing(0, 4), Some(Standing::Dead));
         assert_eq!(fleet.standing(4, 5), Some(Standing::Alive));
-        fleet.mend();
+        fleet.heal();
         assert!(
-            fleet.run_until(30_000, Fleet::agrees).is_some(),
+            fleet.run_until(30_000, Fleet::has_converged).is_some(),
             "seed {seed}"
         );
     }
@@ -224,13 +224,13 @@
 fn two_sides_of_a_cut_meet_again_with_all_seeds_gone() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.part(&[0, 1, 2, 3], &[4, 5, 6, 7]);
+        fleet.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
         fleet.run(NOTICE_MS);
-        (0..3).for_each(|place| fleet.set(place, Fate::Killed));
+        (0..3).for_each(|place| fleet.set_state(place, HostState::Killed));
         fleet.run(NOTICE_MS);
-        fleet.mend();
+        fleet.heal();
         assert!(
-            fleet.run_until(60_000, Fleet::agrees).is_some(),
+            fleet.run_until(60_000, Fleet::has_converged).is_some(),
             "seed {seed}"
         );
     }
@@ -240,24 +240,24 @@
 fn a_suspicion_from_before_a_pause_does_not_end_in_a_death() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.part(&[5], &[0, 1, 2, 3, 4, 6, 7]);
+        fleet.partition(&[5], &[0, 1, 2, 3, 4, 6, 7]);
         let suspects = |fleet: &Fleet| fleet.view(5).count(Standing::Suspect) > 0;
         assert!(
             fleet.run_until(NOTICE_MS, suspects).is_some(),
             "seed {seed}"
         );
-        fleet.set(5, Fate::Frozen);
-        fleet.mend();
+        fleet.set_state(5, HostState::Frozen);
+        fleet.heal();
         fleet.run(3_600_000);
         fleet.changes.clear();
-        fleet.set(5, Fate::Runs);
+        fleet.set_state(5, HostState::Runs);
         fleet.run(NOTICE_MS);
         let died = |change: &Change| matches!(change, Change::Died(_));
         assert!(
             !fleet.changes.iter().any(|(_, _, c)| died(c)),
             "seed {seed}"
         );
-        assert!(fleet.agrees(), "seed {seed}");
+        assert!(fleet.has_converged(), "seed {seed}");
     }
 }
 
@@ -267,7 +267,7 @@
         let mut fleet = joined(HOSTS, seed);
         (0..HOSTS).for_each(|place| fleet.restart(place));
         assert!(
-            fleet.run_until(JOIN_MS, Fleet::agrees).is_some(),
+            fleet.run_until(JOIN_MS, Fleet::has_converged).is_some(),
             "seed {seed}"
         );
         fleet.changes.clear();
@@ -284,11 +284,11 @@
 fn a_host_that_joins_with_two_seeds_of_three_gone_finds_all() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.set(0, Fate::Killed);
-        fleet.set(1, Fate::Frozen);
+        fleet.set_state(0, HostState::Killed);
+        fleet.set_state(1, HostState::Frozen);
         fleet.restart(7);
         assert!(
-            fleet.run_until(JOIN_MS, Fleet::agrees).is_some(),
+            fleet.run_until(JOIN_MS, Fleet::has_converged).is_some(),
             "seed {seed}"
         );
     }
@@ -298,13 +298,13 @@
 fn a_second_host_lost_right_after_a_restart_is_noticed() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        fleet.set(4, Fate::Killed);
+        fleet.set_state(4, HostState::Killed);
         fleet.run(4_000);
         fleet.restart(4);
         fleet.run(200);
-        fleet.set(5, Fate::Killed);
+        fleet.set_state(5, HostState::Killed);
         assert!(
-            fleet.run_until(NOTICE_MS, Fleet::agrees).is_some(),
+            fleet.run_until(NOTICE_MS, Fleet::has_converged).is_some(),
             "seed {seed}"
         );
     }
@@ -315,7 +315,7 @@
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.restart(2);
-        fleet.tell(3, Event::Load(Load::Overloaded));
+        fleet.deliver_event(3, Event::Load(Load::Overloaded));
         fleet.run(5_000);
         for observer in (0..HOSTS).filter(|place| ![2, 3].contains(place)) {
             let told = |change: Change| {
@@ -341,7 +341,7 @@
     record.version.run += 1;
     let mut message = message_from(&fleet, 4);
     message.updates = vec![record];
-    fleet.hand(5, message);
+    fleet.deliver_message(5, message);
     let taken = Change::NameTaken(address(7));
     assert!(
         fleet
@@ -381,14 +381,14 @@
     let (few, many) = (cost(&mut small), cost(&mut large));
     println!("seed 1, bytes and messages a second: {few:?} at 8 hosts, {many:?} at 390");
     assert!(many.0 <= few.0 * 2);
-    large.set(77, Fate::Killed);
+    large.set_state(77, HostState::Killed);
     let suspected = large.run_until(NOTICE_MS, |fleet| {
         let places = fleet.running();
         places
             .iter()
             .all(|p| fleet.standing(*p, 77) != Some(Standing::Alive))
     });
-    let dead = large.run_until(NOTICE_MS, Fleet::agrees);
+    let dead = large.run_until(NOTICE_MS, Fleet::has_converged);
     println!("seed 1, 390 hosts: suspected after {suspected:?} ms, dead {dead:?} ms later");
     assert!(suspected.is_some() && dead.is_some());
 }
--- a/crates/coordination/tests/sim/mod.rs
+++ b/crates/coordination/tests/raft_sim/mod.rs
@@ -53,14 +53,14 @@
 
 /// Bounds the faults of a schedule.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct FaultRates {
     pub delay: u64,
     pub duplicated: u32,
     pub lost: u32,
     pub sync: u64,
 }
 
-impl Weather {
+impl FaultRates {
     pub const CALM: Self = Self {
         delay: 3,
         duplicated: 0,
@@ -129,7 +129,7 @@
     pub replies: Vec<(u64, Reply)>,
     pub rng: ChaCha8Rng,
     serial: u64,
-    pub weather: Weather,
+    pub fault_rates: FaultRates,
 }
 
 pub fn member(host: usize) -> Member {
@@ -155,7 +155,7 @@
             replies: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             serial: 0,
-            weather: Weather::CALM,
+            fault_rates: FaultRates::CALM,
         };
         for _ in 0..voters {
             let skew = sim.rng.random_range(0..=2 * MAX_CLOCK_DRIFT_PERMILLE);
@@ -423,7 +423,7 @@
                 if self.flaw == Flaw::SkipSync {
                     return self.step(host, Event::Persisted(sequence));
                 }
-                let slow = self.rng.random_range(1..=self.weather.sync);
+                let slow = self.rng.random_range(1..=self.fault_rates.sync);
                 let epoch = self.hosts[host].epoch;
                 self.schedule(slow, Happening::Synced(host, epoch, sequence));
             }
@@ -500,8 +500,8 @@
             return;
         };
         let copies = match self.rng.random_range(0..PERMILLE) {
-            roll if roll < self.weather.lost => 0,
-            roll if roll < self.weather.lost + self.weather.duplicated => 2,
+            roll if roll < self.fault_rates.lost => 0,
+            roll if roll < self.fault_rates.lost + self.fault_rates.duplicated => 2,
             _ => 1,
         };
         if self.blocked.contains(&(from, to)) {
@@ -514,14 +514,14 @@
     }
 
     fn reply(&mut self, id: u64, reply: Reply) {
-        if self.rng.random_range(0..PERMILLE) >= self.weather.lost {
+        if self.rng.random_range(0..PERMILLE) >= self.fault_rates.lost {
             let delay = self.delay();
             self.schedule(delay, Happening::Reply(id, reply));
         }
     }
 
     fn delay(&mut self) -> u64 {
-        self.rng.random_range(1..=self.weather.delay)
+        self.rng.random_range(1..=self.fault_rates.delay)
     }
 
     fn schedule(&mut self, after: u64, happening: Happening) {
--- a/crates/coordination/tests/reload.rs
+++ b/crates/coordination/tests/reload.rs
@@ -1,10 +1,9 @@
 //! Rolling reloads of engines whose weights lag.
 
-mod clockwork;
+mod upstream_fixtures;
 
 use std::collections::BTreeMap;
 
-use clockwork::seen;
 use coordination::reload::Effect;
 use coordination::reload::Event;
 use coordination::reload::Outcome;
@@ -13,6 +12,7 @@
 use coordination::reload::Report;
 use coordination::upstream_load::UpstreamLoad;
 use state::time::Instant;
+use upstream_fixtures::listed_upstream;
 
 const MODEL: &str = "m";
 
@@ -104,7 +104,7 @@
 
     fn list(&mut self) {
         let listed = self.engines.iter();
-        let listed = listed.map(|(id, engine)| seen(id, MODEL, engine.version));
+        let listed = listed.map(|(id, engine)| listed_upstream(id, MODEL, engine.version));
         let listed = listed.collect();
         self.step(Event::Listed(listed));
     }
@@ -256,7 +256,11 @@
         })
     };
     step(&mut reload, 0, Event::LeadershipGained);
-    step(&mut reload, 0, Event::Listed(vec![seen("e", MODEL, 1)]));
+    step(
+        &mut reload,
+        0,
+        Event::Listed(vec![listed_upstream("e", MODEL, 1)]),
+    );
     let named = BTreeMap::from([(MODEL.to_owned(), 2)]);
     step(&mut reload, 0, Event::NewestVersions(named));
     step(&mut reload, 4_000, Event::Tick);
@@ -282,7 +286,7 @@
 #[test]
 fn an_engine_that_was_started_again_is_known_by_its_start() {
     let mut reload = Reload::new(Policy::default());
-    let mut listed = seen("e", MODEL, 3);
+    let mut listed = listed_upstream("e", MODEL, 3);
     reload.step(Instant(0), Event::Listed(vec![listed.clone()]));
     listed.weights.insert(MODEL.to_owned(), 2);
     reload.step(Instant(1), Event::Listed(vec![listed.clone()]));
--- a/crates/coordination/tests/clockwork/mod.rs
+++ b/crates/coordination/tests/upstream_fixtures/mod.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns an engine as the platform's list shows it.
-pub fn seen(id: &str, model: &str, version: u64) -> ListedUpstream {
+pub fn listed_upstream(id: &str, model: &str, version: u64) -> ListedUpstream {
     ListedUpstream {
         address: address(id),
         domain: "a".to_owned(),
@@ -60,7 +60,7 @@
 }
 
 /// Returns the load of an engine that has so many tokens to read for one request.
-pub fn unread(tokens: u64) -> UpstreamLoad {
+pub fn pending_prefill(tokens: u64) -> UpstreamLoad {
     UpstreamLoad {
         long_tokens: 0,
         last_byte_age_ms: None,
