--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -17,10 +17,10 @@
 use crate::placement_request::PlacementId;
 use crate::placement_request::PlacementRequest;
 use state::column::Column;
-use state::queue::Place;
-use state::queue::Queue;
-use state::queue::Reach;
-use state::queue::Verdict;
+use state::fair_queue::FairQueue;
+use state::fair_queue::FlowKey;
+use state::fair_queue::SearchLimits;
+use state::fair_queue::Verdict;
 use state::rank::Rank;
 use state::sheet::Sheet;
 use state::table::Table;
@@ -55,9 +55,9 @@
 const RATE_BURST_MS: u64 = 2_000;
 /// Bounds how far a queue is searched for a request that an engine can take, in requests, so that
 /// the cost of a search does not grow with the queue.
-const REACH: Reach = Reach {
-    items: 48,
-    of_caller: 8,
+const REACH: SearchLimits = SearchLimits {
+    total: 48,
+    per_caller: 8,
 };
 /// Counts the units of the whole share of a limit; shares are given in thousandths.
 const SHARE_UNIT: u64 = 1_000;
@@ -233,7 +233,7 @@
 pub struct Admission {
     busy: [Option<Instant>; 2],
     kinds: BTreeMap<String, u64>,
-    queues: [Queue<Waiting>; 2],
+    queues: [FairQueue<Waiting>; 2],
     rules: Arc<Rules>,
     served: VecDeque<[Served; 2]>,
     served_at: u64,
@@ -246,7 +246,7 @@
         Self {
             busy: [None; 2],
             kinds: BTreeMap::new(),
-            queues: [Queue::default(), Queue::default()],
+            queues: [FairQueue::default(), FairQueue::default()],
             rules: Arc::default(),
             served: VecDeque::from([[Served::default(); 2]]),
             served_at: 0,
@@ -276,7 +276,7 @@
         }
         let queue = &self.queues[ask.rank.index()];
         let fair = QUEUE_LIMIT / (2 * (queue.callers() + 1));
-        let mine = queue.of_caller(&place);
+        let mine = queue.len_of_caller(&place);
         let crowded = queue.len() >= QUEUE_LIMIT / 2 && mine >= fair;
         if mine >= CALLER_QUEUE || queue.len() >= QUEUE_LIMIT || crowded {
             return Err(refuse(Reason::Overloaded, self.wait_ms(&ask, now)));
@@ -332,14 +332,14 @@
                     placement_id: waiting.ask.placement_id,
                 });
             }
-            self.queues[rank].tidy();
+            self.queues[rank].remove_idle();
         }
         refusals
     }
 
     /// Returns whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.queues.iter().all(Queue::is_empty)
+        self.queues.iter().all(FairQueue::is_empty)
     }
 
     /// Returns how many requests of `rank` wait.
@@ -513,7 +513,7 @@
         if queue.is_empty() || !busy {
             return 0;
         }
-        let mine = queue.of_caller(&place(ask));
+        let mine = queue.len_of_caller(&place(ask));
         let ahead = queue.len().min((mine + 1) * (queue.callers() + 1));
         ahead as u64 * paced / self.recent()[rank].requests.max(1)
     }
@@ -525,8 +525,8 @@
 }
 
 /// Returns the place of a request in its queue.
-pub fn place(ask: &PlacementRequest) -> Place {
-    Place {
+pub fn place(ask: &PlacementRequest) -> FlowKey {
+    FlowKey {
         caller: ask.caller.clone(),
         workspace: ask.workspace.clone(),
     }
--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -34,7 +34,7 @@
 use state::cache_directory::CacheDirectory;
 use state::cache_directory::Snapshot;
 use state::cache_directory::UpstreamIndex;
-use state::queue::Verdict;
+use state::fair_queue::Verdict;
 use state::rank::Rank;
 use state::table::Table;
 use state::time::Instant;
@@ -337,7 +337,7 @@
             let proposal = pool.propose(ask, priority, trade, directory, &promised, now);
             if !pool.open(proposal.slot, class(light), now) {
                 promised.add(proposal.slot, proposal.work_us);
-                return Verdict::Pass;
+                return Verdict::Skip;
             }
             let work = proposal.work;
             chosen = Some(proposal);
--- a/crates/state/src/queue.rs
+++ b/crates/state/src/fair_queue.rs
@@ -12,7 +12,7 @@
 
 /// Names the place of an item in the queue.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct FlowKey {
     /// Names the caller within its workspace.
     pub caller: String,
     /// Names the workspace.
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// Leaves the item and looks at the next one.
-    Pass,
+    Skip,
     /// Ends the search without an item.
     Stop,
     /// Takes the item and charges this much work.
@@ -32,43 +32,43 @@
 
 /// Bounds how far a search goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Reach {
+pub struct SearchLimits {
     /// Bounds the items looked at in all.
-    pub items: usize,
+    pub total: usize,
     /// Bounds the items looked at of one caller.
-    pub of_caller: usize,
+    pub per_caller: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Flow<T> {
+struct CallerQueue<T> {
     items: VecDeque<T>,
-    time: u64,
+    start_tag: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Group<T> {
-    clock: u64,
-    flows: BTreeMap<String, Flow<T>>,
+struct WorkspaceQueue<T> {
+    virtual_time: u64,
+    flows: BTreeMap<String, CallerQueue<T>>,
     idle: BTreeMap<String, u64>,
     len: usize,
     order: BTreeSet<(u64, String)>,
-    time: u64,
+    start_tag: u64,
     weight: u64,
 }
 
 /// Holds waiting items by workspace and caller.
 #[derive(Clone, Debug)]
-pub struct Queue<T> {
-    clock: u64,
-    groups: BTreeMap<String, Group<T>>,
+pub struct FairQueue<T> {
+    virtual_time: u64,
+    groups: BTreeMap<String, WorkspaceQueue<T>>,
     len: usize,
     order: BTreeSet<(u64, String)>,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for FairQueue<T> {
     fn default() -> Self {
         Self {
-            clock: 0,
+            virtual_time: 0,
             groups: BTreeMap::new(),
             len: 0,
             order: BTreeSet::new(),
@@ -76,7 +76,7 @@
     }
 }
 
-impl<T> Queue<T> {
+impl<T> FairQueue<T> {
     /// Returns how many callers of all workspaces have items waiting.
     pub fn callers(&self) -> usize {
         self.groups.values().map(|group| group.flows.len()).sum()
@@ -93,25 +93,25 @@
     }
 
     /// Returns how many items of one caller wait.
-    pub fn of_caller(&self, place: &Place) -> usize {
-        let group = self.groups.get(&place.workspace);
-        let flow = group.and_then(|group| group.flows.get(&place.caller));
+    pub fn len_of_caller(&self, key: &FlowKey) -> usize {
+        let group = self.groups.get(&key.workspace);
+        let flow = group.and_then(|group| group.flows.get(&key.caller));
         flow.map_or(0, |flow| flow.items.len())
     }
 
     /// Adds an item at the end of its caller's.
-    pub fn push(&mut self, place: &Place, item: T, weight: u64) {
-        let clock = self.clock;
+    pub fn push(&mut self, key: &FlowKey, item: T, weight: u64) {
+        let virtual_time = self.virtual_time;
         let group = self
             .groups
-            .entry(place.workspace.clone())
-            .or_insert_with(|| Group::new(clock, weight));
+            .entry(key.workspace.clone())
+            .or_insert_with(|| WorkspaceQueue::new(virtual_time, weight));
         group.weight = weight.max(1);
         if group.len == 0 {
-            group.time = group.time.max(clock);
-            self.order.insert((group.time, place.workspace.clone()));
+            group.start_tag = group.start_tag.max(virtual_time);
+            self.order.insert((group.start_tag, key.workspace.clone()));
         }
-        group.push(&place.caller, item);
+        group.push(&key.caller, item);
         self.len += 1;
     }
 
@@ -120,7 +120,7 @@
         let mut removed = Vec::new();
         for (workspace, group) in &mut self.groups {
             if group.len > 0 && group.remove(&mut wanted, &mut removed) {
-                self.order.remove(&(group.time, workspace.clone()));
+                self.order.remove(&(group.start_tag, workspace.clone()));
             }
         }
         self.len -= removed.len();
@@ -128,12 +128,16 @@
     }
 
     /// Looks at items in order of service until `judge` takes one or the reach ends.
-    pub fn take(&mut self, reach: Reach, mut judge: impl FnMut(&T) -> Verdict) -> Option<T> {
-        let mut left = reach.items;
+    pub fn take(
+        &mut self,
+        limits: SearchLimits,
+        mut decide: impl FnMut(&T) -> Verdict,
+    ) -> Option<T> {
+        let mut left = limits.total;
         let mut found = None;
         for (_, workspace) in &self.order {
             let group = &self.groups[workspace];
-            match group.find(reach.of_caller, &mut left, &mut judge) {
+            match group.find(limits.per_caller, &mut left, &mut decide) {
                 Search::Found(caller, at, work) => {
                     found = Some((workspace.clone(), caller, at, work));
                     break;
@@ -144,26 +148,27 @@
         }
         let (workspace, caller, at, work) = found?;
         let group = self.groups.get_mut(&workspace).expect("group was found");
-        self.order.remove(&(group.time, workspace.clone()));
-        self.clock = self.clock.max(group.time);
+        self.order.remove(&(group.start_tag, workspace.clone()));
+        self.virtual_time = self.virtual_time.max(group.start_tag);
         let item = group.pop(&caller, at, work);
-        group.time += scaled(work, group.weight);
+        group.start_tag += weighted(work, group.weight);
         if group.len > 0 {
-            self.order.insert((group.time, workspace));
+            self.order.insert((group.start_tag, workspace));
         }
         self.len -= 1;
         item
     }
 
     /// Forgets idle workspaces and callers that have nothing left to make up for.
-    pub fn tidy(&mut self) {
-        let clock = self.clock;
+    pub fn remove_idle(&mut self) {
+        let virtual_time = self.virtual_time;
         for group in self.groups.values_mut() {
-            let reached = group.clock;
-            group.idle.retain(|_, time| *time > reached);
+            let now = group.virtual_time;
+            group.idle.retain(|_, start_tag| *start_tag > now);
         }
-        self.groups
-            .retain(|_, group| group.len > 0 || group.time > clock || !group.idle.is_empty());
+        self.groups.retain(|_, group| {
+            group.len > 0 || group.start_tag > virtual_time || !group.idle.is_empty()
+        });
     }
 }
 
@@ -173,34 +178,34 @@
     Stopped,
 }
 
-impl<T> Group<T> {
-    fn new(time: u64, weight: u64) -> Self {
+impl<T> WorkspaceQueue<T> {
+    fn new(start_tag: u64, weight: u64) -> Self {
         Self {
-            clock: 0,
+            virtual_time: 0,
             flows: BTreeMap::new(),
             idle: BTreeMap::new(),
             len: 0,
             order: BTreeSet::new(),
-            time,
+            start_tag,
             weight: weight.max(1),
         }
     }
 
     fn find(
         &self,
-        of_caller: usize,
+        per_caller: usize,
         left: &mut usize,
-        judge: &mut impl FnMut(&T) -> Verdict,
+        decide: &mut impl FnMut(&T) -> Verdict,
     ) -> Search {
         for (_, caller) in &self.order {
             let items = &self.flows[caller].items;
-            for (at, item) in items.iter().take(of_caller).enumerate() {
+            for (at, item) in items.iter().take(per_caller).enumerate() {
                 if *left == 0 {
                     return Search::Stopped;
                 }
                 *left -= 1;
-                match judge(item) {
-                    Verdict::Pass => {}
+                match decide(item) {
+                    Verdict::Skip => {}
                     Verdict::Stop => return Search::Stopped,
                     Verdict::Take(work) => return Search::Found(caller.clone(), at, work),
                 }
@@ -211,24 +216,28 @@
 
     fn pop(&mut self, caller: &str, at: usize, work: u64) -> Option<T> {
         let mut flow = self.flows.remove(caller)?;
-        self.order.remove(&(flow.time, caller.to_owned()));
-        self.clock = self.clock.max(flow.time);
+        self.order.remove(&(flow.start_tag, caller.to_owned()));
+        self.virtual_time = self.virtual_time.max(flow.start_tag);
         let item = flow.items.remove(at)?;
         self.len -= 1;
-        flow.time += work;
-        self.settle(caller, flow);
+        flow.start_tag += work;
+        self.requeue(caller, flow);
         Some(item)
     }
 
     fn push(&mut self, caller: &str, item: T) {
-        let clock = self.clock;
-        let idle = self.idle.remove(caller).unwrap_or(clock).max(clock);
+        let virtual_time = self.virtual_time;
+        let idle = self
+            .idle
+            .remove(caller)
+            .unwrap_or(virtual_time)
+            .max(virtual_time);
         let order = &mut self.order;
         let flow = self.flows.entry(caller.to_owned()).or_insert_with(|| {
             order.insert((idle, caller.to_owned()));
-            Flow {
+            CallerQueue {
                 items: VecDeque::new(),
-                time: idle,
+                start_tag: idle,
             }
         });
         flow.items.push_back(item);
@@ -239,7 +248,7 @@
     fn remove(&mut self, wanted: &mut impl FnMut(&T) -> bool, removed: &mut Vec<T>) -> bool {
         let before = removed.len();
         for (caller, mut flow) in std::mem::take(&mut self.flows) {
-            self.order.remove(&(flow.time, caller.clone()));
+            self.order.remove(&(flow.start_tag, caller.clone()));
             let items = std::mem::take(&mut flow.items);
             for item in items {
                 if wanted(&item) {
@@ -248,22 +257,22 @@
                     flow.items.push_back(item);
                 }
             }
-            self.settle(&caller, flow);
+            self.requeue(&caller, flow);
         }
         self.len -= removed.len() - before;
         self.len == 0
     }
 
-    fn settle(&mut self, caller: &str, flow: Flow<T>) {
+    fn requeue(&mut self, caller: &str, flow: CallerQueue<T>) {
         if flow.items.is_empty() {
-            self.idle.insert(caller.to_owned(), flow.time);
+            self.idle.insert(caller.to_owned(), flow.start_tag);
             return;
         }
-        self.order.insert((flow.time, caller.to_owned()));
+        self.order.insert((flow.start_tag, caller.to_owned()));
         self.flows.insert(caller.to_owned(), flow);
     }
 }
 
-fn scaled(work: u64, weight: u64) -> u64 {
+fn weighted(work: u64, weight: u64) -> u64 {
     work.saturating_mul(SCALE) / weight.max(1)
 }
