--- a/crates/coordination/examples/assign_slope.rs
+++ b/crates/coordination/examples/assign_slope.rs
@@ -10,9 +10,9 @@
 use coordination::assignment::Ask;
 use coordination::assignment::Desk;
 use coordination::demand::Demand;
-use coordination::holders::Holding;
-use coordination::holders::Place;
-use coordination::holders::Prompt;
+use coordination::prefix_index::CacheLocation;
+use coordination::prefix_index::CachedPrefix;
+use coordination::prefix_index::PrefixKey;
 use coordination::upstream::Edition;
 use coordination::upstream::Fleet;
 use coordination::upstream::Standing;
@@ -39,7 +39,7 @@
             let now = time::Instant(ask * 10);
             if let Ok(choice) = desk.assign(now, &fleet, &loads, demand(ask)) {
                 covered.extend(choice.grant);
-                let told = holding(ask, choice.upstream.id);
+                let told = cached_prefix(ask, choice.upstream.id);
                 if ask % HOSTS == 0 {
                     desk.reported(now, &std::mem::take(&mut covered), &[told]);
                 }
@@ -84,7 +84,7 @@
 }
 
 fn demand(ask: u64) -> Ask {
-    let part = format!("part-{}", ask % PROMPTS);
+    let prefix_id = format!("part-{}", ask % PROMPTS);
     Ask {
         avoided: Vec::new(),
         demand: Demand {
@@ -96,17 +96,17 @@
             newest: 7,
             prompt_tokens: 17_000,
             service: "engines".to_owned(),
-            shared: Some((part, 13_300)),
+            shared: Some((prefix_id, 13_300)),
             ..Demand::default()
         },
     }
 }
 
-fn holding(ask: u64, engine: String) -> Holding {
-    Holding {
-        place: Place::Engine(engine),
-        prompt: Prompt {
-            part: format!("part-{}", ask % PROMPTS),
+fn cached_prefix(ask: u64, engine: String) -> CachedPrefix {
+    CachedPrefix {
+        location: CacheLocation::Engine(engine),
+        prefix: PrefixKey {
+            prefix_id: format!("part-{}", ask % PROMPTS),
             weights: 7,
         },
     }
--- a/crates/coordination/src/assignment.rs
+++ b/crates/coordination/src/assignment.rs
@@ -13,7 +13,7 @@
 use crate::demand::Demand;
 use crate::dispatch::Dispatch;
 use crate::dispatch::Run;
-use crate::holders::Holding;
+use crate::prefix_index::CachedPrefix;
 use crate::upstream::Edition;
 use crate::upstream::Fleet;
 use crate::upstream_load::UpstreamLoads;
@@ -101,7 +101,7 @@
     }
 
     /// Notes that a host's report covers assignments, and where the host has seen shared prompts.
-    pub fn reported(&mut self, now: Instant, covered: &[u64], told: &[Holding]) {
+    pub fn reported(&mut self, now: Instant, covered: &[u64], told: &[CachedPrefix]) {
         if !told.is_empty() {
             self.dispatch.heard_where(now, told.to_vec());
         }
--- a/crates/coordination/src/demand.rs
+++ b/crates/coordination/src/demand.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::holders::Prompt;
+use crate::prefix_index::PrefixKey;
 
 /// Describes what a request needs.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -44,17 +44,17 @@
 
 impl Demand {
     /// Names the shared prompt as engines with a version of the weights cache it.
-    pub fn prompt(&self, weights: u64) -> Option<Prompt> {
-        let part = self.cached()?;
-        Some(Prompt { part, weights })
+    pub fn prefix(&self, weights: u64) -> Option<PrefixKey> {
+        let prefix_id = self.cached()?;
+        Some(PrefixKey { prefix_id, weights })
     }
 
     /// Names the shared prompt with the workspace that it must not leave, where there is one.
     fn cached(&self) -> Option<String> {
-        let (part, _) = self.shared.as_ref()?;
+        let (prefix_id, _) = self.shared.as_ref()?;
         Some(match &self.wall {
-            None => part.clone(),
-            Some(workspace) => format!("{part}@{workspace}"),
+            None => prefix_id.clone(),
+            Some(workspace) => format!("{prefix_id}@{workspace}"),
         })
     }
 }
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -13,11 +13,11 @@
 use crate::choice::Rank;
 use crate::choice::Refusal;
 use crate::demand::Demand;
-use crate::holders;
-use crate::holders::Holders;
-use crate::holders::Holding;
-use crate::holders::Place;
-use crate::holders::Prompt;
+use crate::prefix_index;
+use crate::prefix_index::CacheLocation;
+use crate::prefix_index::CachedPrefix;
+use crate::prefix_index::PrefixIndex;
+use crate::prefix_index::PrefixKey;
 use crate::shard;
 use crate::silence::Silence;
 use crate::silence::Ticket;
@@ -79,7 +79,7 @@
 pub struct Run {
     id: String,
     long_tokens: u64,
-    prompt: Option<Prompt>,
+    prefix: Option<PrefixKey>,
     ticket: Ticket,
     tokens: u64,
 }
@@ -118,7 +118,7 @@
 pub struct Dispatch {
     breaker: Breaker,
     grants: Vec<u64>,
-    holders: Holders,
+    prefix_index: PrefixIndex,
     others: (Instant, UpstreamLoads),
     seen: BTreeMap<String, Seen>,
     silence: Silence,
@@ -130,7 +130,7 @@
         Self {
             breaker: Breaker::new(EJECTION, seed),
             grants: Vec::new(),
-            holders: Holders::default(),
+            prefix_index: PrefixIndex::default(),
             others: Default::default(),
             seen: BTreeMap::new(),
             silence: Silence::default(),
@@ -166,15 +166,15 @@
             .model
             .as_ref()
             .map(|model| self.weights(&upstream, model));
-        let prompt = weights.and_then(|weights| demand.prompt(weights));
-        let store = prompt.as_ref();
-        let store = store.and_then(|prompt| holders::store(&demand.stores, prompt));
-        let fetch = prompt.as_ref().and_then(|prompt| {
-            let peer = self.source(now, fleet, demand, &upstream, prompt);
+        let prefix = weights.and_then(|weights| demand.prefix(weights));
+        let store = prefix.as_ref();
+        let store = store.and_then(|prefix| prefix_index::store_for(&demand.stores, prefix));
+        let fetch = prefix.as_ref().and_then(|prefix| {
+            let peer = self.source(now, fleet, demand, &upstream, prefix);
             peer.or(store)
         });
-        let saves = prompt.filter(|_| store.is_some());
-        let saves = saves.is_some_and(|prompt| self.holders.save(now, &prompt));
+        let saves = prefix.filter(|_| store.is_some());
+        let saves = saves.is_some_and(|prefix| self.prefix_index.claim_save(now, &prefix));
         Ok(Choice {
             backlog_ms: expected.backlog_ms,
             fetch,
@@ -207,7 +207,7 @@
         Run {
             id,
             long_tokens,
-            prompt: choice.weights.and_then(|weights| demand.prompt(weights)),
+            prefix: choice.weights.and_then(|weights| demand.prefix(weights)),
             ticket,
             tokens,
         }
@@ -240,20 +240,20 @@
     }
 
     /// Notes where other hosts have seen shared prompts.
-    pub fn heard_where(&mut self, now: Instant, holdings: Vec<Holding>) {
-        self.holders.heard(now, holdings);
-        self.holders.forget(now);
+    pub fn heard_where(&mut self, now: Instant, cached_prefixes: Vec<CachedPrefix>) {
+        self.prefix_index.record_remote(now, cached_prefixes);
+        self.prefix_index.expire(now);
     }
 
     /// Returns where this host has seen shared prompts since it was asked last.
-    pub fn tell(&mut self, now: Instant) -> Vec<Holding> {
-        self.holders.tell(now)
+    pub fn tell(&mut self, now: Instant) -> Vec<CachedPrefix> {
+        self.prefix_index.take_updates(now)
     }
 
     /// Has what this host has seen of shared prompts told once more, as it was told in vain or to
     /// a host that no longer leads.
     pub fn tell_again(&mut self, now: Instant) {
-        self.holders.tell_again(now);
+        self.prefix_index.resend_updates(now);
     }
 
     /// Notes the head of an answer.
@@ -268,9 +268,10 @@
 
     /// Notes that the upstream has read the request's prompt, since it began to answer.
     pub fn read(&mut self, now: Instant, run: &mut Run) {
-        if let Some(prompt) = run.prompt.take() {
-            let place = Place::Engine(run.id.clone());
-            self.holders.saw(now, Holding { place, prompt });
+        if let Some(prefix) = run.prefix.take() {
+            let location = CacheLocation::Engine(run.id.clone());
+            self.prefix_index
+                .record_local(now, CachedPrefix { location, prefix });
         }
     }
 
@@ -363,7 +364,7 @@
         };
         let listed: Vec<&Upstream> = fleet.upstreams.iter().filter(takes).collect();
         let listed = match &demand.shared {
-            Some((part, _)) => affinity::foremost(listed, part, WEIGHED),
+            Some((prefix_id, _)) => affinity::foremost(listed, prefix_id, WEIGHED),
             None => listed,
         };
         let is_sound = |upstream: &&Upstream| self.is_usable(now, &upstream.id);
@@ -403,20 +404,20 @@
         if least > demand.left_ms {
             return Err(Refusal::TooLate);
         }
-        if let Some((part, _)) = &demand.shared {
+        if let Some((prefix_id, _)) = &demand.shared {
             let first = |has_room: &dyn Fn(&Candidate) -> bool| {
-                let place = affinity::ranked(&new, part, has_room).map(|place| newest[place]);
-                place.or_else(|| Some(older[affinity::ranked(&old, part, has_room)?]))
+                let place = affinity::ranked(&new, prefix_id, has_room).map(|place| newest[place]);
+                place.or_else(|| Some(older[affinity::ranked(&old, prefix_id, has_room)?]))
             };
             let in_time = |candidate: &Candidate| {
                 fits(candidate, demand) && begins_in_time(candidate, demand)
             };
-            let holding = |candidate: &Candidate| candidate.holds && in_time(candidate);
+            let cached_prefix = |candidate: &Candidate| candidate.holds && in_time(candidate);
             let is_idle = |candidate: &Candidate| candidate.backlog_ms <= ROOM_LATE_MS;
             let soon = |candidate: &Candidate| fits(candidate, demand) && is_idle(candidate);
             let idle = new.iter().chain(&old).filter(|c| is_idle(c)).count();
             let spares = idle * 100 > ready.len() * SPARE_PERCENT;
-            let place = first(&holding).or_else(|| first(&in_time));
+            let place = first(&cached_prefix).or_else(|| first(&in_time));
             let place = place.or_else(|| first(&soon).filter(|_| spares));
             return place.ok_or(Refusal::Busy);
         }
@@ -471,10 +472,10 @@
     fn cached(&self, now: Instant, upstream: &Upstream, demand: &Demand) -> Cached {
         let model = demand.model.as_ref();
         let weights = model.map(|model| self.weights(upstream, model));
-        let Some(prompt) = weights.and_then(|weights| demand.prompt(weights)) else {
+        let Some(prefix) = weights.and_then(|weights| demand.prefix(weights)) else {
             return Cached::Nowhere;
         };
-        let holders = self.holders.engines(now, &prompt);
+        let holders = self.prefix_index.engines(now, &prefix);
         match (holders.contains(&upstream.id.as_str()), holders.is_empty()) {
             (true, _) => Cached::Here,
             (false, false) => Cached::Elsewhere,
@@ -503,7 +504,7 @@
         fleet: &Fleet,
         demand: &Demand,
         chosen: &Upstream,
-        prompt: &Prompt,
+        prefix: &PrefixKey,
     ) -> Option<SocketAddr> {
         let holds = |id: &&str| {
             let upstream = fleet.upstreams.iter().find(|upstream| upstream.id == *id)?;
@@ -511,16 +512,16 @@
             let fits = upstream.id != chosen.id
                 && upstream.service == chosen.service
                 && upstream.standing != upstream::Standing::Leaving
-                && self.weights(upstream, model) == prompt.weights
+                && self.weights(upstream, model) == prefix.weights
                 && self.is_usable(now, id);
             fits.then_some(upstream)
         };
-        let engines = self.holders.engines(now, prompt);
-        let holding: Vec<&Upstream> = engines.iter().filter_map(holds).collect();
-        let near = holding
+        let engines = self.prefix_index.engines(now, prefix);
+        let cached_prefix: Vec<&Upstream> = engines.iter().filter_map(holds).collect();
+        let near = cached_prefix
             .iter()
             .find(|upstream| upstream.domain == chosen.domain);
-        let best = near.or(holding.first());
+        let best = near.or(cached_prefix.first());
         best.map(|upstream| upstream.address)
     }
 }
--- a/crates/coordination/src/outlook.rs
+++ b/crates/coordination/src/outlook.rs
@@ -10,8 +10,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::bulletin::Mark;
-use crate::holders::Holding;
+use crate::prefix_index::CachedPrefix;
+use crate::prefix_log::Position;
 use crate::upstream::Edition;
 use crate::upstream::Fleet;
 use crate::upstream_load::UpstreamLoads;
@@ -26,13 +26,13 @@
     /// Lists the assignments that what the host has under way covers since it asked last.
     pub grants: Vec<u64>,
     /// Names the last entry of the bulletin that the host has.
-    pub heard: Mark,
+    pub heard: Position,
     /// Names the host.
     pub host: String,
     /// Tells what the host has under way at upstreams.
     pub loads: UpstreamLoads,
     /// Tells where the host has seen shared prompts since it asked last.
-    pub told: Vec<Holding>,
+    pub told: Vec<CachedPrefix>,
     /// Gives the version of the routed table that the host has.
     pub version: u64,
 }
@@ -43,11 +43,11 @@
     /// Holds the upstreams, where the host lacks this edition.
     pub fleet: Option<Fleet>,
     /// Tells where other hosts have seen shared prompts.
-    pub holdings: Vec<Holding>,
+    pub cached_prefixes: Vec<CachedPrefix>,
     /// Tells what other hosts have under way at upstreams.
     pub loads: UpstreamLoads,
     /// Names the last entry of the bulletin.
-    pub mark: Mark,
+    pub mark: Position,
     /// Holds the routed table, where the host lacks this version.
     pub table: Option<Arc<Table>>,
     /// Gives the newest weights version of each model.
--- a/crates/coordination/src/holders.rs
+++ b/crates/coordination/src/prefix_index.rs
@@ -27,16 +27,16 @@
 /// Names a shared prompt as engines cache it: for one version of the weights, and within one
 /// workspace where that is isolated.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Prompt {
+pub struct PrefixKey {
     /// Names its last part, and the workspace that it must not leave, where there is one.
-    pub part: String,
+    pub prefix_id: String,
     /// Gives the version of the weights.
     pub weights: u64,
 }
 
 /// Names what has a prompt.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub enum Place {
+pub enum CacheLocation {
     /// Is an engine, by its name.
     Engine(String),
     /// Is the store.
@@ -45,48 +45,52 @@
 
 /// Tells that a place has a prompt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Holding {
+pub struct CachedPrefix {
     /// Names the place.
-    pub place: Place,
+    pub location: CacheLocation,
     /// Names the prompt.
-    pub prompt: Prompt,
+    pub prefix: PrefixKey,
 }
 
 /// Returns the store that keeps a prompt: every host finds the same one, so that each prompt is
 /// kept once and all stores fill.
-pub fn store(stores: &[SocketAddr], prompt: &Prompt) -> Option<SocketAddr> {
-    let score = |store: &&SocketAddr| rendezvous::score(prompt.part.as_bytes(), &store.to_string());
+pub fn store_for(stores: &[SocketAddr], prefix: &PrefixKey) -> Option<SocketAddr> {
+    let score =
+        |store: &&SocketAddr| rendezvous::score(prefix.prefix_id.as_bytes(), &store.to_string());
     stores.iter().max_by_key(score).copied()
 }
 
 /// Keeps which places have which prompts.
 #[derive(Clone, Debug, Default)]
-pub struct Holders {
-    places: BTreeMap<Prompt, BTreeMap<Place, Instant>>,
-    told: VecDeque<(Instant, Holding)>,
-    untold: Vec<Holding>,
+pub struct PrefixIndex {
+    locations: BTreeMap<PrefixKey, BTreeMap<CacheLocation, Instant>>,
+    told: VecDeque<(Instant, CachedPrefix)>,
+    untold: Vec<CachedPrefix>,
 }
 
-impl Holders {
+impl PrefixIndex {
     /// Notes what this host has seen, to be told to the others.
-    pub fn saw(&mut self, now: Instant, holding: Holding) {
+    pub fn record_local(&mut self, now: Instant, cached_prefix: CachedPrefix) {
         if self.untold.len() < UNTOLD {
-            self.untold.push(holding.clone());
+            self.untold.push(cached_prefix.clone());
         }
-        self.note(now, holding);
+        self.insert(now, cached_prefix);
     }
 
     /// Notes what other hosts have seen.
-    pub fn heard(&mut self, now: Instant, holdings: Vec<Holding>) {
-        for holding in holdings {
-            self.note(now, holding);
+    pub fn record_remote(&mut self, now: Instant, cached_prefixes: Vec<CachedPrefix>) {
+        for cached_prefix in cached_prefixes {
+            self.insert(now, cached_prefix);
         }
     }
 
     /// Returns what the others were not told yet.
-    pub fn tell(&mut self, now: Instant) -> Vec<Holding> {
+    pub fn take_updates(&mut self, now: Instant) -> Vec<CachedPrefix> {
         let untold = std::mem::take(&mut self.untold);
-        let told = untold.iter().cloned().map(|holding| (now, holding));
+        let told = untold
+            .iter()
+            .cloned()
+            .map(|cached_prefix| (now, cached_prefix));
         self.told.extend(told);
         let old = self.told.len().saturating_sub(UNTOLD);
         self.told.drain(..old);
@@ -94,22 +98,25 @@
     }
 
     /// Has what is not too old to count told once more.
-    pub fn tell_again(&mut self, now: Instant) {
+    pub fn resend_updates(&mut self, now: Instant) {
         let told = std::mem::take(&mut self.told);
         let young = told.into_iter().filter(|(at, _)| now.since(*at) <= HELD_MS);
         let later = std::mem::take(&mut self.untold);
-        self.untold = young.map(|(_, holding)| holding).chain(later).collect();
+        self.untold = young
+            .map(|(_, cached_prefix)| cached_prefix)
+            .chain(later)
+            .collect();
         self.untold.truncate(UNTOLD);
     }
 
     /// Returns the engines that have a prompt, the last that read it first.
-    pub fn engines(&self, now: Instant, prompt: &Prompt) -> Vec<&str> {
-        let places = self.places.get(prompt).into_iter().flatten();
-        let mut engines: Vec<(Instant, &str)> = places
+    pub fn engines(&self, now: Instant, prefix: &PrefixKey) -> Vec<&str> {
+        let locations = self.locations.get(prefix).into_iter().flatten();
+        let mut engines: Vec<(Instant, &str)> = locations
             .filter(|(_, at)| now.since(**at) <= HELD_MS)
-            .filter_map(|(place, at)| match place {
-                Place::Engine(id) => Some((*at, id.as_str())),
-                Place::Store => None,
+            .filter_map(|(location, at)| match location {
+                CacheLocation::Engine(id) => Some((*at, id.as_str())),
+                CacheLocation::Store => None,
             })
             .collect();
         engines.sort_by(|a, b| b.cmp(a));
@@ -117,16 +124,16 @@
     }
 
     /// Returns whether a prompt should go to the store, and notes that it does.
-    pub fn save(&mut self, now: Instant, prompt: &Prompt) -> bool {
-        let saved = self.places.get(prompt);
-        let saved = saved.and_then(|places| places.get(&Place::Store));
+    pub fn claim_save(&mut self, now: Instant, prefix: &PrefixKey) -> bool {
+        let saved = self.locations.get(prefix);
+        let saved = saved.and_then(|locations| locations.get(&CacheLocation::Store));
         let due = saved.is_none_or(|at| now.since(*at) > SAVED_MS);
         if due {
-            self.saw(
+            self.record_local(
                 now,
-                Holding {
-                    place: Place::Store,
-                    prompt: prompt.clone(),
+                CachedPrefix {
+                    location: CacheLocation::Store,
+                    prefix: prefix.clone(),
                 },
             );
         }
@@ -134,16 +141,16 @@
     }
 
     /// Forgets what is too old to count.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn expire(&mut self, now: Instant) {
         let most = HELD_MS.max(SAVED_MS);
-        self.places.retain(|_, places| {
-            places.retain(|_, at| now.since(*at) <= most);
-            !places.is_empty()
+        self.locations.retain(|_, locations| {
+            locations.retain(|_, at| now.since(*at) <= most);
+            !locations.is_empty()
         });
     }
 
-    fn note(&mut self, now: Instant, holding: Holding) {
-        let places = self.places.entry(holding.prompt).or_default();
-        places.insert(holding.place, now);
+    fn insert(&mut self, now: Instant, cached_prefix: CachedPrefix) {
+        let locations = self.locations.entry(cached_prefix.prefix).or_default();
+        locations.insert(cached_prefix.location, now);
     }
 }
--- a/crates/coordination/src/bulletin.rs
+++ b/crates/coordination/src/prefix_log.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::holders::Holding;
+use crate::prefix_index::CachedPrefix;
 
 /// Bounds the entries that are kept: some seconds' worth at a hundred long prompts a second.
 const KEPT: usize = 1_024;
@@ -17,7 +17,7 @@
 
 /// Names the last entry that a host has; numbers of another leader mean nothing.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Mark {
+pub struct Position {
     /// Gives the term of the voter that numbered it.
     pub term: u64,
     /// Gives its number.
@@ -26,24 +26,24 @@
 
 /// Keeps the newest entries.
 #[derive(Clone, Debug, Default)]
-pub struct Bulletin {
-    entries: VecDeque<(String, Holding)>,
-    mark: Mark,
+pub struct PrefixLog {
+    entries: VecDeque<(String, CachedPrefix)>,
+    mark: Position,
 }
 
-impl Bulletin {
+impl PrefixLog {
     /// Takes the entries of `host`, and returns those of the others after `heard` with the mark of
     /// the last.
     pub fn exchange(
         &mut self,
         term: u64,
         host: impl Into<String>,
-        told: Vec<Holding>,
-        heard: Mark,
-    ) -> (Vec<Holding>, Mark) {
+        told: Vec<CachedPrefix>,
+        heard: Position,
+    ) -> (Vec<CachedPrefix>, Position) {
         if self.mark.term != term {
             self.entries.clear();
-            self.mark = Mark { term, number: 0 };
+            self.mark = Position { term, number: 0 };
         }
         let host = host.into();
         let after = match heard.term == term {
@@ -55,9 +55,11 @@
         let first = self.entries.len().saturating_sub(lacking);
         let others = self.entries.iter().skip(first);
         let others = others.filter(|(from, _)| *from != host);
-        let others = others.map(|(_, holding)| holding.clone()).collect();
-        for holding in told {
-            self.entries.push_back((host.clone(), holding));
+        let others = others
+            .map(|(_, cached_prefix)| cached_prefix.clone())
+            .collect();
+        for cached_prefix in told {
+            self.entries.push_back((host.clone(), cached_prefix));
             self.mark.number += 1;
         }
         while self.entries.len() > KEPT {
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -10,8 +10,8 @@
 use coordination::choice::Refusal;
 use coordination::demand::Demand;
 use coordination::dispatch::Dispatch;
-use coordination::holders::Holding;
-use coordination::holders::Place;
+use coordination::prefix_index::CacheLocation;
+use coordination::prefix_index::CachedPrefix;
 use coordination::upstream_load::LoadAggregator;
 use coordination::upstream_load::UpstreamLoads;
 use state::time::Instant;
@@ -22,7 +22,7 @@
 const ENGINES: usize = 40;
 const PROMPTS: usize = 30;
 
-fn demand(part: impl Into<String>) -> Demand {
+fn demand(prefix_id: impl Into<String>) -> Demand {
     Demand {
         goal_ms: 1_000,
         left_ms: 12_000,
@@ -30,15 +30,15 @@
         newest: 1,
         prompt_tokens: 30_000,
         service: "engines".to_owned(),
-        shared: Some((part.into(), 20_000)),
+        shared: Some((prefix_id.into(), 20_000)),
         ..Demand::default()
     }
 }
 
-fn ask(part: impl Into<String>) -> Ask {
+fn ask(prefix_id: impl Into<String>) -> Ask {
     Ask {
         avoided: Vec::new(),
-        demand: demand(part),
+        demand: demand(prefix_id),
     }
 }
 
@@ -150,9 +150,9 @@
 fn a_prompt_that_an_engine_has_read_is_fetched_from_it_once_a_host_has_told_so() {
     let fleet = fleet(&[("e", 1), ("f", 1)]);
     let mut desk = Desk::new(0);
-    let prompt = demand("p").prompt(1).unwrap();
-    let place = Place::Engine("e".to_owned());
-    desk.reported(Instant(0), &[], &[Holding { place, prompt }]);
+    let prefix = demand("p").prefix(1).unwrap();
+    let location = CacheLocation::Engine("e".to_owned());
+    desk.reported(Instant(0), &[], &[CachedPrefix { location, prefix }]);
     let loads = UpstreamLoads::from([("e".to_owned(), pending_prefill(40_000))]);
     let choice = desk.assign(Instant(1), &fleet, &loads, ask("p")).unwrap();
     assert_eq!(choice.upstream.id, "f");
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -23,7 +23,7 @@
 
 const STORE: &str = "store";
 
-fn long(part: &str) -> Demand {
+fn long(prefix_id: &str) -> Demand {
     Demand {
         goal_ms: 1_000,
         left_ms: 12_000,
@@ -31,7 +31,7 @@
         newest: 1,
         prompt_tokens: 17_000,
         service: "engines".to_owned(),
-        shared: Some((part.to_owned(), 13_300)),
+        shared: Some((prefix_id.to_owned(), 13_300)),
         stores: vec![address(STORE)],
         ..Demand::default()
     }
@@ -267,10 +267,10 @@
 }
 
 /// Fills the engines to which a host sends a prompt one by one until it sends it nowhere.
-fn filled(seed: u64, fleet: &Fleet, part: &str) -> BTreeSet<String> {
+fn filled(seed: u64, fleet: &Fleet, prefix_id: &str) -> BTreeSet<String> {
     let mut host = Dispatch::new(seed);
     let mut loads = BTreeMap::new();
-    while let Ok(choice) = host.choose(Instant(0), fleet, &long(part)) {
+    while let Ok(choice) = host.choose(Instant(0), fleet, &long(prefix_id)) {
         loads.insert(id(&choice).to_owned(), pending_prefill(50_000));
         host.heard_of(Instant(0), loads.clone());
     }
--- a/crates/hibiscushoistd/src/outlook.rs
+++ b/crates/hibiscushoistd/src/outlook.rs
@@ -10,11 +10,11 @@
 use tokio::sync::watch;
 
 use crate::context::Context;
-use coordination::bulletin::Mark;
 use coordination::host::Role;
 use coordination::outlook::Ask;
 use coordination::outlook::Freshness;
 use coordination::outlook::Outlook;
+use coordination::prefix_log::Position;
 use coordination::upstream::Fleet;
 use protocol::voter::Rejection;
 use state::routing_index::Index;
@@ -118,7 +118,7 @@
 impl Keeper {
     /// Asks until the task is dropped.
     pub async fn run(self, context: Arc<Context>) {
-        let mut heard = Mark::default();
+        let mut heard = Position::default();
         let mut leader: Option<SocketAddr> = None;
         let mut turn = rand::random::<u32>() as usize;
         loop {
@@ -154,7 +154,7 @@
         &self,
         context: &Context,
         target: SocketAddr,
-        heard: &mut Mark,
+        heard: &mut Position,
     ) -> Result<(), Option<SocketAddr>> {
         let pool = context.pool.as_ref().ok_or(None)?;
         let known = self.publish.borrow().clone();
@@ -195,10 +195,10 @@
         if let Some(gateway) = &context.gateway {
             let now = context.clock.now();
             let loads = std::mem::take(&mut outlook.loads);
-            let holdings = std::mem::take(&mut outlook.holdings);
+            let cached_prefixes = std::mem::take(&mut outlook.cached_prefixes);
             let mut dispatch = gateway.dispatch();
             dispatch.heard_of(now, loads);
-            dispatch.heard_where(now, holdings);
+            dispatch.heard_where(now, cached_prefixes);
             if heard.term != outlook.mark.term {
                 dispatch.tell_again(now);
             }
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -26,12 +26,12 @@
 use coordination::broker::Grant;
 use coordination::broker::InFlightRequest;
 use coordination::broker::ProgressReport;
-use coordination::bulletin::Bulletin;
 use coordination::choice;
 use coordination::choice::Choice;
 use coordination::gossip::Message;
 use coordination::outlook;
 use coordination::outlook::Outlook;
+use coordination::prefix_log::PrefixLog;
 use coordination::quarantine;
 use coordination::state_machine::Answer;
 use coordination::state_machine::Command;
@@ -61,7 +61,7 @@
     /// Reaches the broker of the upstreams that this host owns.
     pub broker: Handle,
     /// Passes what hosts have seen on to the others while this one leads.
-    pub bulletin: Arc<Mutex<Bulletin>>,
+    pub bulletin: Arc<Mutex<PrefixLog>>,
     /// Reads the clock.
     pub clock: Clock,
     /// Assigns engines to long prompts while this host leads.
@@ -151,13 +151,14 @@
         desk.reported(now, &ask.grants, &ask.told);
         drop(desk);
         let mut bulletin = self.bulletin.lock().unwrap_or_else(PoisonError::into_inner);
-        let (holdings, mark) = bulletin.exchange(reading.term, &ask.host, ask.told, ask.heard);
+        let (cached_prefixes, mark) =
+            bulletin.exchange(reading.term, &ask.host, ask.told, ask.heard);
         drop(bulletin);
         let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
         let loads = tally.report(now, ask.host, ask.loads);
         Ok(Outlook {
             fleet,
-            holdings,
+            cached_prefixes,
             loads,
             mark,
             table: (table.version > ask.version).then(|| table.clone()),
