--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -19,8 +19,8 @@
 use crate::prefix_index::PrefixIndex;
 use crate::prefix_index::PrefixKey;
 use crate::shard;
-use crate::silence::Silence;
-use crate::silence::Ticket;
+use crate::unresponsive::RequestId;
+use crate::unresponsive::UnresponsiveDetector;
 use crate::upstream;
 use crate::upstream::Fleet;
 use crate::upstream::Upstream;
@@ -80,7 +80,7 @@
     id: String,
     long_tokens: u64,
     prefix: Option<PrefixKey>,
-    ticket: Ticket,
+    request_id: RequestId,
     tokens: u64,
 }
 
@@ -121,7 +121,7 @@
     prefix_index: PrefixIndex,
     others: (Instant, UpstreamLoads),
     seen: BTreeMap<String, Seen>,
-    silence: Silence,
+    unresponsive: UnresponsiveDetector,
 }
 
 impl Dispatch {
@@ -133,7 +133,7 @@
             prefix_index: PrefixIndex::default(),
             others: Default::default(),
             seen: BTreeMap::new(),
-            silence: Silence::default(),
+            unresponsive: UnresponsiveDetector::default(),
         }
     }
 
@@ -143,7 +143,7 @@
         self.breaker.sync(ids.iter().map(|id| (*id).clone()));
         self.seen
             .retain(|id, seen| seen.running > 0 || ids.contains(&id));
-        self.silence
+        self.unresponsive
             .retain(|id| ids.iter().any(|known| *known == id));
     }
 
@@ -203,12 +203,12 @@
         seen.running += 1;
         seen.pending_prefill_tokens += tokens;
         let work_ms = 2 * self.load(now, &id).pending_prefill_tokens / READ_TOKENS_PER_MS;
-        let ticket = self.silence.sent(now, id.clone(), work_ms);
+        let request_id = self.unresponsive.record_sent(now, id.clone(), work_ms);
         Run {
             id,
             long_tokens,
             prefix: choice.weights.and_then(|weights| demand.prefix(weights)),
-            ticket,
+            request_id,
             tokens,
         }
     }
@@ -223,7 +223,7 @@
     pub fn loads(&self, now: Instant) -> UpstreamLoads {
         let busy = self.seen.iter().filter(|(_, seen)| seen.running > 0);
         let load = |(id, seen): (&String, &Seen)| {
-            let last_byte_age_ms = self.silence.last_byte_age_ms(now, id);
+            let last_byte_age_ms = self.unresponsive.last_byte_age_ms(now, id);
             (id.clone(), seen.load(last_byte_age_ms))
         };
         busy.map(load).collect()
@@ -233,7 +233,7 @@
     pub fn heard_of(&mut self, now: Instant, others: UpstreamLoads) {
         for (id, load) in &others {
             if let Some(quiet) = load.last_byte_age_ms {
-                self.silence.heard_elsewhere(now.before(quiet), id);
+                self.unresponsive.record_remote_byte(now.before(quiet), id);
             }
         }
         self.others = (now, others);
@@ -259,7 +259,7 @@
     /// Notes the head of an answer.
     pub fn answered(&mut self, now: Instant, run: &mut Run) {
         self.heard(now, run);
-        self.silence.ended(&run.id, run.ticket);
+        self.unresponsive.record_ended(&run.id, run.request_id);
         if let Some(seen) = self.seen.get_mut(&run.id) {
             seen.pending_prefill_tokens = seen.pending_prefill_tokens.saturating_sub(run.tokens);
             run.tokens = 0;
@@ -277,7 +277,7 @@
 
     /// Notes a byte of an answer.
     pub fn heard(&mut self, now: Instant, run: &Run) {
-        self.silence.heard(now, &run.id);
+        self.unresponsive.record_byte(now, &run.id);
     }
 
     /// Notes the version of an engine's weights as an answer gave it.
@@ -307,7 +307,7 @@
 
     /// Notes that a request is no longer under way.
     pub fn ended(&mut self, run: &Run) {
-        self.silence.ended(&run.id, run.ticket);
+        self.unresponsive.record_ended(&run.id, run.request_id);
         if let Some(seen) = self.seen.get_mut(&run.id) {
             seen.long_tokens = seen.long_tokens.saturating_sub(run.long_tokens);
             seen.running = seen.running.saturating_sub(1);
@@ -322,8 +322,8 @@
     }
 
     /// Returns whether the upstream of a request answers nobody.
-    pub fn is_silent(&self, now: Instant, run: &Run) -> bool {
-        self.silence.is_silent(now, &run.id)
+    pub fn is_unresponsive(&self, now: Instant, run: &Run) -> bool {
+        self.unresponsive.is_unresponsive(now, &run.id)
     }
 
     /// Returns whether the upstream's weights may still serve the request.
@@ -348,7 +348,7 @@
     fn is_usable(&self, now: Instant, id: &str) -> bool {
         let refused = self.seen.get(id).and_then(|seen| seen.refused);
         !matches!(self.breaker.peek(now, id), Standing::Open(_))
-            && !self.silence.is_silent(now, id)
+            && !self.unresponsive.is_unresponsive(now, id)
             && refused.is_none_or(|at| now.since(at) > REFUSED_MS)
     }
 
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -133,8 +133,8 @@
             BTreeMap::from([(id(&choice).to_owned(), heard)]),
         );
     }
-    assert!(alone.is_silent(Instant(2_600), &runs[0]));
-    assert!(!told.is_silent(Instant(2_600), &runs[1]));
+    assert!(alone.is_unresponsive(Instant(2_600), &runs[0]));
+    assert!(!told.is_unresponsive(Instant(2_600), &runs[1]));
 }
 
 #[test]
--- a/crates/coordination/tests/routed.rs
+++ b/crates/coordination/tests/routed.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use coordination::outlook::Freshness;
-use coordination::silence::LIMIT_MS;
-use coordination::silence::PATH_LIMIT_MS;
-use coordination::silence::Silence;
+use coordination::unresponsive::PATH_TIMEOUT_MS;
+use coordination::unresponsive::TIMEOUT_MS;
+use coordination::unresponsive::UnresponsiveDetector;
 use coordination::upstream_load::LoadAggregator;
 use coordination::upstream_load::UpstreamLoad;
 use coordination::upstream_load::UpstreamLoads;
@@ -26,42 +26,42 @@
 
 #[test]
 fn an_upstream_is_silent_when_it_answers_no_request_for_longer_than_its_work_takes() {
-    let mut silence = Silence::default();
-    let slow = silence.sent(Instant(0), "u", 500);
-    assert!(!silence.is_silent(Instant(500 + LIMIT_MS), "u"));
-    assert!(silence.is_silent(Instant(501 + LIMIT_MS), "u"));
-    silence.heard(Instant(600), "u");
-    assert!(!silence.is_silent(Instant(600 + LIMIT_MS), "u"));
-    silence.ended("u", slow);
-    assert!(!silence.is_silent(Instant(10_000), "u"));
+    let mut detector = UnresponsiveDetector::default();
+    let slow = detector.record_sent(Instant(0), "u", 500);
+    assert!(!detector.is_unresponsive(Instant(500 + TIMEOUT_MS), "u"));
+    assert!(detector.is_unresponsive(Instant(501 + TIMEOUT_MS), "u"));
+    detector.record_byte(Instant(600), "u");
+    assert!(!detector.is_unresponsive(Instant(600 + TIMEOUT_MS), "u"));
+    detector.record_ended("u", slow);
+    assert!(!detector.is_unresponsive(Instant(10_000), "u"));
 }
 
 #[test]
 fn an_upstream_that_other_hosts_hear_is_busy_until_the_path_to_it_looks_broken() {
-    let mut silence = Silence::default();
-    silence.sent(Instant(0), "u", 500);
-    for at in (600..=500 + PATH_LIMIT_MS).step_by(100) {
-        silence.heard_elsewhere(Instant(at), "u");
-        assert!(!silence.is_silent(Instant(at), "u"), "at {at}");
+    let mut detector = UnresponsiveDetector::default();
+    detector.record_sent(Instant(0), "u", 500);
+    for at in (600..=500 + PATH_TIMEOUT_MS).step_by(100) {
+        detector.record_remote_byte(Instant(at), "u");
+        assert!(!detector.is_unresponsive(Instant(at), "u"), "at {at}");
     }
-    assert!(silence.is_silent(Instant(501 + PATH_LIMIT_MS), "u"));
-    silence.heard(Instant(502 + PATH_LIMIT_MS), "u");
-    assert!(!silence.is_silent(Instant(503 + PATH_LIMIT_MS), "u"));
+    assert!(detector.is_unresponsive(Instant(501 + PATH_TIMEOUT_MS), "u"));
+    detector.record_byte(Instant(502 + PATH_TIMEOUT_MS), "u");
+    assert!(!detector.is_unresponsive(Instant(503 + PATH_TIMEOUT_MS), "u"));
 }
 
 #[test]
 fn an_upstream_that_no_host_hears_any_more_is_silent_to_all() {
-    let mut silence = Silence::default();
-    silence.sent(Instant(0), "u", 0);
-    silence.heard_elsewhere(Instant(100), "u");
-    assert!(!silence.is_silent(Instant(100 + LIMIT_MS), "u"));
-    assert!(silence.is_silent(Instant(101 + LIMIT_MS), "u"));
+    let mut detector = UnresponsiveDetector::default();
+    detector.record_sent(Instant(0), "u", 0);
+    detector.record_remote_byte(Instant(100), "u");
+    assert!(!detector.is_unresponsive(Instant(100 + TIMEOUT_MS), "u"));
+    assert!(detector.is_unresponsive(Instant(101 + TIMEOUT_MS), "u"));
 }
 
 #[test]
 fn an_upstream_without_requests_is_not_silent() {
-    let silence = Silence::default();
-    assert!(!silence.is_silent(Instant(10_000), "u"));
+    let detector = UnresponsiveDetector::default();
+    assert!(!detector.is_unresponsive(Instant(10_000), "u"));
 }
 
 #[test]
--- a/crates/hibiscushoistd/src/gateway_attempt.rs
+++ b/crates/hibiscushoistd/src/gateway_attempt.rs
@@ -231,7 +231,10 @@
         }
         tokio::time::sleep(LOOK.min(Duration::from_millis(left))).await;
         let now = context.clock.now();
-        let silent = underway.gateway.dispatch().is_silent(now, &underway.run);
+        let silent = underway
+            .gateway
+            .dispatch()
+            .is_unresponsive(now, &underway.run);
         let (gateway, upstream) = (underway.gateway(), &choice.upstream.id);
         if silent
             && routed.route.is_repeatable()
