--- a/crates/coordination/src/breaker.rs
+++ b/crates/coordination/src/breaker.rs
@@ -14,32 +14,32 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
     /// Gives how many failures in a row eject an upstream.
-    pub failures: u32,
+    pub failures_to_eject: u32,
     /// Gives the length of the first ejection, in milliseconds; it doubles from there.
-    pub pause: u64,
+    pub ejection_ms: u64,
     /// Bounds the length of an ejection, in milliseconds.
-    pub pause_limit: u64,
+    pub ejection_limit_ms: u64,
     /// Gives how long a probe may take, in milliseconds, before another is let through.
-    pub probe: u64,
+    pub probe_timeout_ms: u64,
     /// Bounds the share of upstreams ejected at once, in percent.
-    pub share: usize,
+    pub max_ejected_percent: usize,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            failures: 3,
-            pause: 500,
-            pause_limit: 30_000,
-            probe: 5_000,
-            share: 50,
+            failures_to_eject: 3,
+            ejection_ms: 500,
+            ejection_limit_ms: 30_000,
+            probe_timeout_ms: 5_000,
+            max_ejected_percent: 50,
         }
     }
 }
 
 /// Tells whether an upstream takes a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum State {
     /// Means that it takes requests.
     Closed,
     /// Means that it is ejected until the given time.
@@ -50,7 +50,7 @@
 
 /// Keeps the standing of all upstreams.
 #[derive(Clone, Debug)]
-pub struct Breaker {
+pub struct CircuitBreaker {
     policy: Policy,
     rng: ChaCha8Rng,
     upstreams: BTreeMap<String, Health>,
@@ -69,7 +69,7 @@
     until: Instant,
 }
 
-impl Breaker {
+impl CircuitBreaker {
     /// Returns a breaker that knows no upstream; `seed` fixes the jitter.
     pub fn new(policy: Policy, seed: u64) -> Self {
         Self {
@@ -89,24 +89,24 @@
     }
 
     /// Returns whether `upstream` takes a request now, without claiming a probe.
-    pub fn peek(&self, now: Instant, upstream: &str) -> Standing {
+    pub fn state(&self, now: Instant, upstream: &str) -> State {
         let open = self.upstreams.get(upstream).and_then(|h| h.open);
         match open {
-            None => Standing::Closed,
-            Some(ejection) if now < ejection.until => Standing::Open(ejection.until),
+            None => State::Closed,
+            Some(ejection) if now < ejection.until => State::Open(ejection.until),
             Some(ejection) => match ejection.probe {
-                Some(begun) if now.since(begun) < self.policy.probe => {
-                    Standing::Open(begun + self.policy.probe)
+                Some(begun) if now.since(begun) < self.policy.probe_timeout_ms => {
+                    State::Open(begun + self.policy.probe_timeout_ms)
                 }
-                _ => Standing::Probe,
+                _ => State::Probe,
             },
         }
     }
 
     /// Returns whether `upstream` takes a request now; a probe is claimed by the asker.
-    pub fn claim(&mut self, now: Instant, upstream: &str) -> Standing {
-        let standing = self.peek(now, upstream);
-        if standing == Standing::Probe
+    pub fn admit(&mut self, now: Instant, upstream: &str) -> State {
+        let standing = self.state(now, upstream);
+        if standing == State::Probe
             && let Some(health) = self.upstreams.get_mut(upstream)
             && let Some(ejection) = &mut health.open
         {
@@ -116,18 +116,18 @@
     }
 
     /// Counts a failure and returns whether it ejected the upstream.
-    pub fn failed(&mut self, now: Instant, upstream: impl Into<String>) -> bool {
+    pub fn record_failure(&mut self, now: Instant, upstream: impl Into<String>) -> bool {
         let room = self.has_room();
         let policy = self.policy;
         let health = self.upstreams.entry(upstream.into()).or_default();
         health.failures = health.failures.saturating_add(1);
         let again = match health.open {
-            None => health.failures >= policy.failures && room,
+            None => health.failures >= policy.failures_to_eject && room,
             Some(ejection) => now >= ejection.until,
         };
         if again {
-            let doubled = policy.pause << health.ejections.min(16);
-            let limit = doubled.min(policy.pause_limit);
+            let doubled = policy.ejection_ms << health.ejections.min(16);
+            let limit = doubled.min(policy.ejection_limit_ms);
             let pause = self.rng.random_range(limit / 2..=limit);
             health.ejections += 1;
             health.open = Some(Ejection {
@@ -139,7 +139,7 @@
     }
 
     /// Counts a success, which ends an ejection.
-    pub fn succeeded(&mut self, upstream: &str) {
+    pub fn record_success(&mut self, upstream: &str) {
         if let Some(health) = self.upstreams.get_mut(upstream) {
             *health = Health::default();
         }
@@ -151,6 +151,6 @@
     }
 
     fn has_room(&self) -> bool {
-        (self.ejected() + 1) * 100 <= self.upstreams.len() * self.policy.share
+        (self.ejected() + 1) * 100 <= self.upstreams.len() * self.policy.max_ejected_percent
     }
 }
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -6,9 +6,9 @@
 
 use crate::affinity;
 use crate::affinity::Candidate;
-use crate::breaker::Breaker;
+use crate::breaker::CircuitBreaker;
 use crate::breaker::Policy;
-use crate::breaker::Standing;
+use crate::breaker::State;
 use crate::choice::Choice;
 use crate::choice::Rank;
 use crate::choice::Refusal;
@@ -67,11 +67,11 @@
 /// pause ends in time for an upstream that was started again, and doubles while it is still down;
 /// two fifths of the upstreams stay, since a fleet that fails as a whole is not to be left.
 const EJECTION: Policy = Policy {
-    failures: 3,
-    pause: 500,
-    pause_limit: 4_000,
-    probe: 1_000,
-    share: 60,
+    failures_to_eject: 3,
+    ejection_ms: 500,
+    ejection_limit_ms: 4_000,
+    probe_timeout_ms: 1_000,
+    max_ejected_percent: 60,
 };
 
 /// Names a request under way.
@@ -116,7 +116,7 @@
 /// Chooses upstreams.
 #[derive(Debug)]
 pub struct Dispatch {
-    breaker: Breaker,
+    breaker: CircuitBreaker,
     grants: Vec<u64>,
     prefix_index: PrefixIndex,
     others: (Instant, UpstreamLoads),
@@ -128,7 +128,7 @@
     /// Returns a dispatch that has seen nothing; `seed` fixes the jitter.
     pub fn new(seed: u64) -> Self {
         Self {
-            breaker: Breaker::new(EJECTION, seed),
+            breaker: CircuitBreaker::new(EJECTION, seed),
             grants: Vec::new(),
             prefix_index: PrefixIndex::default(),
             others: Default::default(),
@@ -161,7 +161,7 @@
         let ready = self.ready(now, fleet, demand);
         let upstream = self.pick(now, &ready, demand)?.clone();
         let expected = self.candidate(now, &upstream, demand);
-        let _ = self.breaker.claim(now, &upstream.id);
+        let _ = self.breaker.admit(now, &upstream.id);
         let weights = demand
             .model
             .as_ref()
@@ -297,12 +297,12 @@
 
     /// Notes that the request failed at the upstream, and returns whether that ejected it.
     pub fn failed(&mut self, now: Instant, run: &Run) -> bool {
-        self.breaker.failed(now, run.id.clone())
+        self.breaker.record_failure(now, run.id.clone())
     }
 
     /// Notes that the upstream served the request.
     pub fn succeeded(&mut self, run: &Run) {
-        self.breaker.succeeded(&run.id);
+        self.breaker.record_success(&run.id);
     }
 
     /// Notes that a request is no longer under way.
@@ -347,7 +347,7 @@
 
     fn is_usable(&self, now: Instant, id: &str) -> bool {
         let refused = self.seen.get(id).and_then(|seen| seen.refused);
-        !matches!(self.breaker.peek(now, id), Standing::Open(_))
+        !matches!(self.breaker.state(now, id), State::Open(_))
             && !self.unresponsive.is_unresponsive(now, id)
             && refused.is_none_or(|at| now.since(at) > REFUSED_MS)
     }
--- a/crates/coordination/tests/breaker.rs
+++ b/crates/coordination/tests/breaker.rs
@@ -1,25 +1,25 @@
 //! Checks ejection, probing and the bound on the share ejected.
 
-use coordination::breaker::Breaker;
+use coordination::breaker::CircuitBreaker;
 use coordination::breaker::Policy;
-use coordination::breaker::Standing;
+use coordination::breaker::State;
 use state::time::Instant;
 
 const NOW: Instant = Instant(1_000);
 
-fn breaker(count: usize) -> Breaker {
-    let mut breaker = Breaker::new(Policy::default(), 7);
+fn breaker(count: usize) -> CircuitBreaker {
+    let mut breaker = CircuitBreaker::new(Policy::default(), 7);
     breaker.sync((0..count).map(|i| format!("u{i}")));
     breaker
 }
 
-fn fail(breaker: &mut Breaker, upstream: &str, times: usize) -> bool {
-    (0..times).any(|_| breaker.failed(NOW, upstream))
+fn fail(breaker: &mut CircuitBreaker, upstream: &str, times: usize) -> bool {
+    (0..times).any(|_| breaker.record_failure(NOW, upstream))
 }
 
-fn until(breaker: &Breaker, now: Instant, upstream: &str) -> Instant {
-    match breaker.peek(now, upstream) {
-        Standing::Open(until) => until,
+fn until(breaker: &CircuitBreaker, now: Instant, upstream: &str) -> Instant {
+    match breaker.state(now, upstream) {
+        State::Open(until) => until,
         other => panic!("{other:?}"),
     }
 }
@@ -28,7 +28,7 @@
 fn an_upstream_is_ejected_at_its_last_failure_in_a_row() {
     let mut breaker = breaker(4);
     assert!(!fail(&mut breaker, "u0", 2));
-    breaker.succeeded("u0");
+    breaker.record_success("u0");
     assert!(!fail(&mut breaker, "u0", 2));
     assert!(fail(&mut breaker, "u0", 1));
     let until = until(&breaker, NOW, "u0");
@@ -40,10 +40,10 @@
     let mut breaker = breaker(4);
     fail(&mut breaker, "u0", 3);
     let later = until(&breaker, NOW, "u0");
-    assert_eq!(breaker.claim(later, "u0"), Standing::Probe);
-    assert_eq!(breaker.claim(later, "u0"), Standing::Open(later + 5_000));
-    breaker.succeeded("u0");
-    assert_eq!(breaker.claim(later, "u0"), Standing::Closed);
+    assert_eq!(breaker.admit(later, "u0"), State::Probe);
+    assert_eq!(breaker.admit(later, "u0"), State::Open(later + 5_000));
+    breaker.record_success("u0");
+    assert_eq!(breaker.admit(later, "u0"), State::Closed);
 }
 
 #[test]
@@ -51,8 +51,8 @@
     let mut breaker = breaker(4);
     fail(&mut breaker, "u0", 3);
     let later = until(&breaker, NOW, "u0");
-    breaker.claim(later, "u0");
-    assert_eq!(breaker.claim(later + 5_000, "u0"), Standing::Probe);
+    breaker.admit(later, "u0");
+    assert_eq!(breaker.admit(later + 5_000, "u0"), State::Probe);
 }
 
 #[test]
@@ -60,8 +60,8 @@
     let mut breaker = breaker(4);
     fail(&mut breaker, "u0", 3);
     let later = until(&breaker, NOW, "u0");
-    breaker.claim(later, "u0");
-    assert!(breaker.failed(later, "u0"));
+    breaker.admit(later, "u0");
+    assert!(breaker.record_failure(later, "u0"));
     let again = until(&breaker, later, "u0");
     assert!((500..=1_000).contains(&again.since(later)), "{again:?}");
 }
--- a/crates/hibiscushoistd/src/health.rs
+++ b/crates/hibiscushoistd/src/health.rs
@@ -7,8 +7,8 @@
 use std::sync::PoisonError;
 
 use coordination::breaker;
-use coordination::breaker::Breaker;
-use coordination::breaker::Standing;
+use coordination::breaker::CircuitBreaker;
+use coordination::breaker::State;
 use coordination::retry;
 use coordination::retry::Denial;
 use coordination::retry::Failure;
@@ -36,7 +36,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    breaker: Breaker,
+    breaker: CircuitBreaker,
     incarnations: BTreeMap<String, Incarnation>,
     refused: BTreeMap<String, Instant>,
     retries: Retries,
@@ -47,7 +47,7 @@
     /// Returns the health of upstreams that have not failed yet.
     pub fn new(clock: Clock) -> Self {
         let inner = Inner {
-            breaker: Breaker::new(breaker::Policy::default(), rand::random()),
+            breaker: CircuitBreaker::new(breaker::Policy::default(), rand::random()),
             incarnations: BTreeMap::new(),
             refused: BTreeMap::new(),
             retries: Retries::new(retry::Policy::default(), rand::random()),
@@ -95,7 +95,7 @@
         let ejected = |name: &&String| {
             let refused = inner.refused.get(*name);
             refused.is_some_and(|at| now.since(*at) < REFUSAL_PAUSE)
-                || matches!(inner.breaker.peek(now, name), Standing::Open(_))
+                || matches!(inner.breaker.state(now, name), State::Open(_))
         };
         let mut all = failed.clone();
         all.extend(serving.iter().filter(ejected).cloned());
@@ -111,7 +111,7 @@
     /// Counts a failure of `upstream`.
     pub fn failed(&self, upstream: &str, reason: Reason) {
         let now = self.clock.now();
-        if self.lock().breaker.failed(now, upstream) {
+        if self.lock().breaker.record_failure(now, upstream) {
             let reason: &'static str = reason.into();
             metrics::counter!(metric::EJECTIONS, "reason" => reason).increment(1);
         }
@@ -139,7 +139,7 @@
     pub fn sent(&self, workspace: &str, upstream: &str, first: bool) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.breaker.claim(now, upstream);
+        inner.breaker.admit(now, upstream);
         if first {
             inner.retries.first(now, workspace, upstream);
         }
@@ -147,7 +147,7 @@
 
     /// Counts a success of `upstream`.
     pub fn succeeded(&self, upstream: &str) {
-        self.lock().breaker.succeeded(upstream);
+        self.lock().breaker.record_success(upstream);
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
