--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -94,28 +94,28 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
     /// Bounds the attempts at one request, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Bounds the pause before the second attempt, in milliseconds; it doubles from there.
-    pub backoff: u64,
+    pub initial_backoff_ms: u64,
     /// Bounds every pause, in milliseconds.
-    pub backoff_limit: u64,
+    pub max_backoff_ms: u64,
     /// Gives how many retries a budget holds when nothing has failed for long.
     pub burst: u64,
     /// Gives how much each first attempt adds to a budget, in thousandths of a retry.
-    pub deposit: u64,
+    pub deposit_per_attempt: u64,
     /// Gives how much a budget gains each second, in thousandths of a retry.
-    pub refill: u64,
+    pub refill_per_s: u64,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            attempts: 8,
-            backoff: 20,
-            backoff_limit: 1_000,
+            max_attempts: 8,
+            initial_backoff_ms: 20,
+            max_backoff_ms: 1_000,
             burst: 20,
-            deposit: 100,
-            refill: 500,
+            deposit_per_attempt: 100,
+            refill_per_s: 500,
         }
     }
 }
@@ -139,7 +139,7 @@
 
 /// Keeps the budgets of workspaces and upstreams.
 #[derive(Clone, Debug)]
-pub struct Retries {
+pub struct RetryBudgets {
     policy: Policy,
     rng: ChaCha8Rng,
     upstreams: BTreeMap<String, Budget>,
@@ -152,7 +152,7 @@
     left: u64,
 }
 
-impl Retries {
+impl RetryBudgets {
     /// Returns full budgets; `seed` fixes the jitter.
     pub fn new(policy: Policy, seed: u64) -> Self {
         Self {
@@ -169,7 +169,7 @@
     }
 
     /// Counts a first attempt, which earns budget.
-    pub fn first(
+    pub fn record_first_attempt(
         &mut self,
         now: Instant,
         workspace: impl Into<String>,
@@ -185,12 +185,12 @@
     /// # Errors
     ///
     /// Returns why there is no next attempt; no budget is charged then.
-    pub fn ask(&mut self, now: Instant, failure: &Failure) -> Result<u64, Denial> {
+    pub fn try_retry(&mut self, now: Instant, failure: &Failure) -> Result<u64, Denial> {
         let policy = self.policy;
         if failure.may_have_run && !failure.idempotent {
             return Err(Denial::MayHaveRun);
         }
-        if failure.attempt >= policy.attempts {
+        if failure.attempt >= policy.max_attempts {
             return Err(Denial::Attempts);
         }
         let pause = self.pause(failure.attempt);
@@ -213,7 +213,7 @@
     }
 
     /// Returns whether the budgets of a workspace and an upstream hold a retry.
-    pub fn affords(&self, now: Instant, workspace: &str, upstream: &str) -> bool {
+    pub fn can_retry(&self, now: Instant, workspace: &str, upstream: &str) -> bool {
         let holds = |budgets: &BTreeMap<String, Budget>, name: &str| {
             let budget = budgets.get(name);
             budget.is_none_or(|budget| budget.refilled(now, self.policy).left >= ATTEMPT)
@@ -230,19 +230,19 @@
     }
 
     fn pause(&mut self, attempt: u32) -> u64 {
-        let doubled = self.policy.backoff << (attempt.saturating_sub(1)).min(16);
-        let limit = doubled.min(self.policy.backoff_limit);
+        let doubled = self.policy.initial_backoff_ms << (attempt.saturating_sub(1)).min(16);
+        let limit = doubled.min(self.policy.max_backoff_ms);
         self.rng.random_range(limit / 2..=limit)
     }
 }
 
 impl Budget {
     fn deposit(&mut self, policy: Policy) {
-        self.left = (self.left + policy.deposit).min(policy.burst * ATTEMPT);
+        self.left = (self.left + policy.deposit_per_attempt).min(policy.burst * ATTEMPT);
     }
 
     fn refilled(mut self, now: Instant, policy: Policy) -> Self {
-        let gain = now.since(self.at).saturating_mul(policy.refill) / 1_000;
+        let gain = now.since(self.at).saturating_mul(policy.refill_per_s) / 1_000;
         if gain > 0 {
             self.left = self.left.saturating_add(gain).min(policy.burst * ATTEMPT);
             self.at = now;
--- a/crates/coordination/tests/retry.rs
+++ b/crates/coordination/tests/retry.rs
@@ -5,7 +5,7 @@
 use coordination::retry::Denial;
 use coordination::retry::Failure;
 use coordination::retry::Policy;
-use coordination::retry::Retries;
+use coordination::retry::RetryBudgets;
 use state::time::Instant;
 
 const NOW: Instant = Instant(1_000);
@@ -22,15 +22,15 @@
     }
 }
 
-fn spent(workspaces: usize, upstreams: usize) -> Retries {
-    let mut retries = Retries::new(Policy::default(), SEED);
+fn spent(workspaces: usize, upstreams: usize) -> RetryBudgets {
+    let mut retries = RetryBudgets::new(Policy::default(), SEED);
     for i in 0..20 {
         let other = Failure {
             upstream: format!("u{}", i % upstreams),
             workspace: format!("w{}", i % workspaces),
             ..failure()
         };
-        retries.ask(NOW, &other).unwrap();
+        retries.try_retry(NOW, &other).unwrap();
     }
     retries
 }
@@ -40,10 +40,10 @@
     for denial in Denial::iter() {
         let policy = Policy::default();
         let mut failure = failure();
-        let mut retries = Retries::new(policy, SEED);
+        let mut retries = RetryBudgets::new(policy, SEED);
         match denial {
-            Denial::Attempts => failure.attempt = policy.attempts,
-            Denial::Deadline => failure.deadline = NOW + policy.backoff / 2,
+            Denial::Attempts => failure.attempt = policy.max_attempts,
+            Denial::Deadline => failure.deadline = NOW + policy.initial_backoff_ms / 2,
             Denial::MayHaveRun => failure.idempotent = false,
             Denial::UpstreamBudget => {
                 retries = spent(20, 1);
@@ -54,19 +54,19 @@
                 failure.workspace = "w0".to_owned();
             }
         }
-        assert_eq!(retries.ask(NOW, &failure), Err(denial));
+        assert_eq!(retries.try_retry(NOW, &failure), Err(denial));
     }
 }
 
 #[test]
 fn a_request_that_cannot_have_run_is_made_again_even_when_it_must_run_once() {
-    let mut retries = Retries::new(Policy::default(), SEED);
+    let mut retries = RetryBudgets::new(Policy::default(), SEED);
     let unsent = Failure {
         idempotent: false,
         may_have_run: false,
         ..failure()
     };
-    assert!(retries.ask(NOW, &unsent).is_ok());
+    assert!(retries.try_retry(NOW, &unsent).is_ok());
 }
 
 #[test]
@@ -77,9 +77,9 @@
             upstream: "u0".to_owned(),
             ..failure()
         };
-        assert_eq!(retries.ask(NOW, &other), Err(Denial::UpstreamBudget));
+        assert_eq!(retries.try_retry(NOW, &other), Err(Denial::UpstreamBudget));
     }
-    assert!(retries.ask(NOW, &failure()).is_ok());
+    assert!(retries.try_retry(NOW, &failure()).is_ok());
 }
 
 #[test]
@@ -89,22 +89,22 @@
         workspace: "w0".to_owned(),
         ..failure()
     };
-    assert!(retries.ask(NOW, &other).is_err());
+    assert!(retries.try_retry(NOW, &other).is_err());
     for _ in 0..10 {
-        retries.first(NOW, "w0", "u");
+        retries.record_first_attempt(NOW, "w0", "u");
     }
-    assert!(retries.ask(NOW, &other).is_ok());
-    assert!(retries.ask(NOW, &other).is_err());
-    assert!(retries.ask(NOW + 2_000, &other).is_ok());
+    assert!(retries.try_retry(NOW, &other).is_ok());
+    assert!(retries.try_retry(NOW, &other).is_err());
+    assert!(retries.try_retry(NOW + 2_000, &other).is_ok());
 }
 
 #[test]
 fn a_failing_upstream_adds_at_most_a_tenth_to_its_load_in_the_long_run() {
-    let mut retries = Retries::new(Policy::default(), SEED);
+    let mut retries = RetryBudgets::new(Policy::default(), SEED);
     let mut made = 0;
     for _ in 0..10_000 {
-        retries.first(NOW, "w", "u");
-        made += u64::from(retries.ask(NOW, &failure()).is_ok());
+        retries.record_first_attempt(NOW, "w", "u");
+        made += u64::from(retries.try_retry(NOW, &failure()).is_ok());
     }
     assert_eq!(made, 1_000 + Policy::default().burst - 1);
 }
@@ -112,19 +112,19 @@
 #[test]
 fn pauses_double_to_their_bound_and_vary() {
     let policy = Policy {
-        attempts: 12,
+        max_attempts: 12,
         burst: 1_000,
         ..Policy::default()
     };
-    let mut retries = Retries::new(policy, SEED);
+    let mut retries = RetryBudgets::new(policy, SEED);
     for attempt in 1..11 {
-        let limit = (policy.backoff << (attempt - 1)).min(policy.backoff_limit);
+        let limit = (policy.initial_backoff_ms << (attempt - 1)).min(policy.max_backoff_ms);
         let failure = Failure {
             attempt,
             ..failure()
         };
         let pauses: Vec<_> = (0..20)
-            .map(|_| retries.ask(NOW, &failure).unwrap())
+            .map(|_| retries.try_retry(NOW, &failure).unwrap())
             .collect();
         assert!(pauses.iter().all(|p| (limit / 2..=limit).contains(p)));
         assert!(pauses.iter().any(|p| *p != pauses[0]));
@@ -139,17 +139,17 @@
         workspace: "w0".to_owned(),
         ..failure()
     };
-    assert_eq!(retries.ask(NOW, &other), Err(Denial::WorkspaceBudget));
+    assert_eq!(retries.try_retry(NOW, &other), Err(Denial::WorkspaceBudget));
 }
 
 #[test]
 fn a_retry_is_afforded_exactly_while_it_would_be_made() {
-    let mut retries = Retries::new(Policy::default(), SEED);
+    let mut retries = RetryBudgets::new(Policy::default(), SEED);
     for _ in 0..Policy::default().burst {
-        assert!(retries.affords(NOW, "w", "u"));
-        retries.ask(NOW, &failure()).unwrap();
+        assert!(retries.can_retry(NOW, "w", "u"));
+        retries.try_retry(NOW, &failure()).unwrap();
     }
-    assert!(!retries.affords(NOW, "w", "u"));
-    assert!(retries.ask(NOW, &failure()).is_err());
-    assert!(retries.affords(NOW, "other", "other"));
+    assert!(!retries.can_retry(NOW, "w", "u"));
+    assert!(retries.try_retry(NOW, &failure()).is_err());
+    assert!(retries.can_retry(NOW, "other", "other"));
 }
--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -26,7 +26,7 @@
 use coordination::host::Role;
 use coordination::outage::Outage;
 use coordination::retry::Policy;
-use coordination::retry::Retries;
+use coordination::retry::RetryBudgets;
 use platform::caller;
 use platform::caller::Facts;
 use protocol::refusal::NotRun;
@@ -62,7 +62,7 @@
     /// Shows what this host knows.
     pub outlook: outlook::Handle,
     /// Bounds requests that go to a second upstream.
-    pub retries: Mutex<Retries>,
+    pub retries: Mutex<RetryBudgets>,
 }
 
 impl Gateway {
@@ -72,7 +72,7 @@
             dispatch: Mutex::new(Dispatch::new(rand::random())),
             lanes: Lanes::default(),
             outlook,
-            retries: Mutex::new(Retries::new(budget(0, 0, 1), rand::random())),
+            retries: Mutex::new(RetryBudgets::new(budget(0, 0, 1), rand::random())),
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Returns the budget of retries.
-    pub fn retries(&self) -> MutexGuard<'_, Retries> {
+    pub fn retries(&self) -> MutexGuard<'_, RetryBudgets> {
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -118,12 +118,12 @@
 /// Returns this host's part of the budget that all hosts share.
 fn budget(percent: u64, slack: u64, hosts: u64) -> Policy {
     Policy {
-        attempts: u32::MAX,
-        backoff: 0,
-        backoff_limit: 0,
+        max_attempts: u32::MAX,
+        initial_backoff_ms: 0,
+        max_backoff_ms: 0,
         burst: (slack * BUDGET_SHARE / 100 / hosts).max(1),
-        deposit: percent * BUDGET_SHARE * RETRY / 10_000,
-        refill: 0,
+        deposit_per_attempt: percent * BUDGET_SHARE * RETRY / 10_000,
+        refill_per_s: 0,
     }
 }
 
--- a/crates/hibiscushoistd/src/gateway_run.rs
+++ b/crates/hibiscushoistd/src/gateway_run.rs
@@ -72,7 +72,7 @@
     let now = context.clock.now();
     gateway
         .retries()
-        .first(now, routed.service.clone(), routed.service.clone());
+        .record_first_attempt(now, routed.service.clone(), routed.service.clone());
     loop {
         let answered = answered(context, gateway, &routed, &mut progress).await?;
         let attempts = progress.attempts + 1;
@@ -133,7 +133,7 @@
     progress.attempts + 1 < routed.route.attempts
         && gateway
             .retries()
-            .affords(now, &routed.service, &routed.service)
+            .can_retry(now, &routed.service, &routed.service)
         && gateway_place::is_offered(context, gateway, routed, &moved)
 }
 
@@ -247,7 +247,7 @@
     if unsent && !progress.may_have_run && context.clock.now() < routed.deadline {
         return Ok(());
     }
-    let asked = gateway.retries().ask(context.clock.now(), &ask);
+    let asked = gateway.retries().try_retry(context.clock.now(), &ask);
     match asked {
         Err(denial) => {
             let denial: &'static str = denial.into();
--- a/crates/hibiscushoistd/src/health.rs
+++ b/crates/hibiscushoistd/src/health.rs
@@ -13,7 +13,7 @@
 use coordination::retry::Denial;
 use coordination::retry::Failure;
 use coordination::retry::Reason;
-use coordination::retry::Retries;
+use coordination::retry::RetryBudgets;
 use state::column::Column;
 use state::ident::Incarnation;
 use state::sheet::Sheet;
@@ -39,7 +39,7 @@
     breaker: CircuitBreaker,
     incarnations: BTreeMap<String, Incarnation>,
     refused: BTreeMap<String, Instant>,
-    retries: Retries,
+    retries: RetryBudgets,
     revision: Option<u64>,
 }
 
@@ -50,7 +50,7 @@
             breaker: CircuitBreaker::new(breaker::Policy::default(), rand::random()),
             incarnations: BTreeMap::new(),
             refused: BTreeMap::new(),
-            retries: Retries::new(retry::Policy::default(), rand::random()),
+            retries: RetryBudgets::new(retry::Policy::default(), rand::random()),
             revision: None,
         };
         Self {
@@ -65,7 +65,7 @@
     ///
     /// Returns why there is no next attempt, and counts that.
     pub fn again(&self, reason: Reason, failure: &Failure) -> Result<u64, Denial> {
-        let verdict = self.lock().retries.ask(self.clock.now(), failure);
+        let verdict = self.lock().retries.try_retry(self.clock.now(), failure);
         match verdict {
             Err(denial) => {
                 let denial: &'static str = denial.into();
@@ -141,7 +141,7 @@
         let mut inner = self.lock();
         inner.breaker.admit(now, upstream);
         if first {
-            inner.retries.first(now, workspace, upstream);
+            inner.retries.record_first_attempt(now, workspace, upstream);
         }
     }
 
