--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -1,9 +1,10 @@
 //! Keeps a request that crashes upstreams from crashing more than two of the fleet.
 //!
-//! Each digest has one owner among the daemons, the first of [`owners`], which is asked before any
-//! run. Without a success, runs and crashes of a digest together never exceed [`CRASHES`]. A digest
-//! that was in flight at a crash is a suspect: it runs again with no other suspect on its
-//! upstream, is cleared by its first success and is held back after its second crash.
+//! Each digest of a request's content has one owner among the daemons, the first of
+//! [`ranked_owners`], which is asked before every run. Until a run succeeds, runs in flight and
+//! crashes of a digest together never exceed [`MAX_CRASHES`]. A digest that was in flight at a crash
+//! is a suspect: its next run shares its upstream with no other suspect, its first success clears
+//! it, and its second crash quarantines it.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -23,44 +24,44 @@
 use state::time::Instant;
 
 /// Bounds the upstreams that one digest may crash.
-pub const CRASHES: usize = 2;
+pub const MAX_CRASHES: usize = 2;
 
 /// Bounds times and sizes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
     /// Gives how long a digest is held back after its second crash, in milliseconds.
-    pub hold: u64,
+    pub quarantine_ms: u64,
     /// Gives how long a run counts without being renewed, in milliseconds.
-    pub lease: u64,
+    pub lease_ms: u64,
     /// Gives how long a crash or a success is remembered, in milliseconds.
-    pub memory: u64,
+    pub memory_ms: u64,
     /// Bounds the digests that are remembered.
-    pub records: usize,
+    pub max_records: usize,
     /// Gives the pause after which an asker that must wait asks again, in milliseconds.
-    pub wait: u64,
+    pub retry_ms: u64,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            hold: 600_000,
-            lease: 15_000,
-            memory: 900_000,
-            records: 50_000,
-            wait: 20,
+            quarantine_ms: 600_000,
+            lease_ms: 15_000,
+            memory_ms: 900_000,
+            max_records: 50_000,
+            retry_ms: 20,
         }
     }
 }
 
 /// Names one run of a digest.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Ticket(pub u128);
+pub struct RunId(pub u128);
 
 /// Answers whether a digest may run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
     /// Means that it is held back for this many milliseconds more.
-    Held(u64),
+    Quarantined(u64),
     /// Means that it may run on any upstream.
     Run,
     /// Means that it may run where no other suspect runs.
@@ -100,15 +101,15 @@
     /// Tells of a digest and its crashes so far.
     Adopt(Digest, usize),
     /// Asks whether a digest may run.
-    Enter(Digest, Ticket),
+    Enter(Digest, RunId),
     /// Asks to be the only suspect on the upstream of that name.
-    Isolate(String, Ticket),
+    Isolate(String, RunId),
     /// Tells how a run ended.
-    Leave(Digest, Ticket, Outcome),
+    Leave(Digest, RunId, Outcome),
     /// Frees the upstream of that name for other suspects.
-    Release(String, Ticket),
+    Release(String, RunId),
     /// Prolongs a run.
-    Renew(Digest, Ticket),
+    Renew(Digest, RunId),
 }
 
 /// Answers a [`Call`].
@@ -134,7 +135,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
-    ticket: Ticket,
+    run_id: RunId,
     until: Instant,
 }
 
@@ -163,9 +164,9 @@
         let record = self.record(now, digest);
         record.crashes = record.crashes.max(crashes);
         record.proven = false;
-        record.until = now + policy.memory;
-        if record.crashes >= CRASHES {
-            record.held.get_or_insert(now + policy.hold);
+        record.until = now + policy.memory_ms;
+        if record.crashes >= MAX_CRASHES {
+            record.held.get_or_insert(now + policy.quarantine_ms);
         }
     }
 
@@ -173,41 +174,41 @@
     pub fn answer(&mut self, now: Instant, call: Call) -> Answer {
         match call {
             Call::Adopt(digest, crashes) => self.adopt(now, digest, crashes),
-            Call::Enter(digest, ticket) => {
-                return Answer::Verdict(self.enter(now, digest, ticket));
+            Call::Enter(digest, run_id) => {
+                return Answer::Verdict(self.enter(now, digest, run_id));
             }
-            Call::Isolate(upstream, ticket) => {
-                return Answer::Isolated(self.isolate(now, upstream, ticket));
+            Call::Isolate(upstream, run_id) => {
+                return Answer::Isolated(self.isolate(now, upstream, run_id));
             }
-            Call::Leave(digest, ticket, outcome) => {
-                return Answer::Left(self.leave(now, digest, ticket, outcome));
+            Call::Leave(digest, run_id, outcome) => {
+                return Answer::Left(self.leave(now, digest, run_id, outcome));
             }
-            Call::Release(upstream, ticket) => self.release(&upstream, ticket),
-            Call::Renew(digest, ticket) => {
-                self.renew(now, digest, ticket);
+            Call::Release(upstream, run_id) => self.release(&upstream, run_id),
+            Call::Renew(digest, run_id) => {
+                self.renew(now, digest, run_id);
             }
         }
         Answer::Done
     }
 
-    /// Answers whether `digest` may run; a permission counts as a run under `ticket`.
-    pub fn enter(&mut self, now: Instant, digest: Digest, ticket: Ticket) -> Verdict {
+    /// Answers whether `digest` may run; a permission counts as a run under `run_id`.
+    pub fn enter(&mut self, now: Instant, digest: Digest, run_id: RunId) -> Verdict {
         let policy = self.policy;
         let record = self.record(now, digest);
         if let Some(until) = record.held {
-            return Verdict::Held(until.since(now));
+            return Verdict::Quarantined(until.since(now));
         }
         let lease = Lease {
-            ticket,
-            until: now + policy.lease,
+            run_id,
+            until: now + policy.lease_ms,
         };
-        if let Some(run) = record.runs.iter_mut().find(|run| run.ticket == ticket) {
+        if let Some(run) = record.runs.iter_mut().find(|run| run.run_id == run_id) {
             *run = lease;
             return record.verdict();
         }
-        let room = record.proven || record.crashes + record.runs.len() < CRASHES;
+        let room = record.proven || record.crashes + record.runs.len() < MAX_CRASHES;
         if !room {
-            return Verdict::Wait(policy.wait);
+            return Verdict::Wait(policy.retry_ms);
         }
         if !record.proven {
             record.runs.push(lease);
@@ -215,46 +216,46 @@
         record.verdict()
     }
 
-    /// Returns whether the suspect of `ticket` may run on `upstream`, which it then holds for the
+    /// Returns whether the suspect of `run_id` may run on `upstream`, which it then holds for the
     /// time of a lease; asking again prolongs that.
-    pub fn isolate(&mut self, now: Instant, upstream: impl Into<String>, ticket: Ticket) -> bool {
-        let until = now + self.policy.lease;
+    pub fn isolate(&mut self, now: Instant, upstream: impl Into<String>, run_id: RunId) -> bool {
+        let until = now + self.policy.lease_ms;
         let lease = self
             .alone
             .entry(upstream.into())
-            .or_insert(Lease { ticket, until: now });
-        if lease.ticket != ticket && now < lease.until {
+            .or_insert(Lease { run_id, until: now });
+        if lease.run_id != run_id && now < lease.until {
             return false;
         }
-        *lease = Lease { ticket, until };
+        *lease = Lease { run_id, until };
         true
     }
 
-    /// Ends the run of `ticket` and returns how many crashes the digest has now.
+    /// Ends the run of `run_id` and returns how many crashes the digest has now.
     pub fn leave(
         &mut self,
         now: Instant,
         digest: Digest,
-        ticket: Ticket,
+        run_id: RunId,
         outcome: Outcome,
     ) -> usize {
         let policy = self.policy;
         let record = self.record(now, digest);
-        record.runs.retain(|run| run.ticket != ticket);
+        record.runs.retain(|run| run.run_id != run_id);
         match outcome {
             Outcome::Crashed => {
                 record.crashes += 1;
                 record.proven = false;
-                record.until = now + policy.memory;
-                if record.crashes >= CRASHES {
-                    record.held = Some(now + policy.hold);
+                record.until = now + policy.memory_ms;
+                if record.crashes >= MAX_CRASHES {
+                    record.held = Some(now + policy.quarantine_ms);
                 }
             }
             Outcome::Stopped => {}
             Outcome::Whole if record.held.is_none() => {
                 record.crashes = 0;
                 record.proven = true;
-                record.until = now + policy.memory;
+                record.until = now + policy.memory_ms;
             }
             Outcome::Whole => {}
         }
@@ -262,7 +263,7 @@
     }
 
     /// Counts the digests that are held back.
-    pub fn held(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.records.values().filter(|r| r.held.is_some()).count()
     }
 
@@ -285,18 +286,18 @@
         self.records.retain(|_, record| !record.is_blank());
     }
 
-    /// Frees `upstream` for other suspects, if the suspect of `ticket` holds it.
-    pub fn release(&mut self, upstream: &str, ticket: Ticket) {
-        if self.alone.get(upstream).is_some_and(|l| l.ticket == ticket) {
+    /// Frees `upstream` for other suspects, if the suspect of `run_id` holds it.
+    pub fn release(&mut self, upstream: &str, run_id: RunId) {
+        if self.alone.get(upstream).is_some_and(|l| l.run_id == run_id) {
             self.alone.remove(upstream);
         }
     }
 
-    /// Prolongs the run of `ticket` and returns whether it still counted.
-    pub fn renew(&mut self, now: Instant, digest: Digest, ticket: Ticket) -> bool {
-        let until = now + self.policy.lease;
+    /// Prolongs the run of `run_id` and returns whether it still counted.
+    pub fn renew(&mut self, now: Instant, digest: Digest, run_id: RunId) -> bool {
+        let until = now + self.policy.lease_ms;
         let record = self.record(now, digest);
-        let run = record.runs.iter_mut().find(|run| run.ticket == ticket);
+        let run = record.runs.iter_mut().find(|run| run.run_id == run_id);
         let known = run.is_some() || record.proven;
         if let Some(run) = run {
             run.until = until;
@@ -305,7 +306,7 @@
     }
 
     fn record(&mut self, now: Instant, digest: Digest) -> &mut Record {
-        let full = self.records.len() >= self.policy.records;
+        let full = self.records.len() >= self.policy.max_records;
         if full && !self.records.contains_key(&digest) {
             self.prune(now);
             self.drop_proven();
@@ -316,7 +317,7 @@
     }
 
     fn drop_proven(&mut self) {
-        if self.records.len() >= self.policy.records {
+        if self.records.len() >= self.policy.max_records {
             self.records.retain(|_, record| !record.proven);
         }
     }
@@ -347,7 +348,7 @@
 }
 
 /// Ranks the hosts that may own `digest`, the owner first; equal views give equal ranks.
-pub fn owners(view: &View, digest: Digest) -> Vec<&Member> {
+pub fn ranked_owners(view: &View, digest: Digest) -> Vec<&Member> {
     let mut hosts: Vec<&Member> = shard::brokers(view).collect();
     let score = |member: &&Member| Reverse(rendezvous::score(&digest.0, &member.record.host));
     hosts.sort_by_key(score);
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -10,13 +10,13 @@
 use coordination::host::Role;
 use coordination::host::Standing;
 use coordination::host::Version;
-use coordination::quarantine::CRASHES;
+use coordination::quarantine::MAX_CRASHES;
 use coordination::quarantine::Outcome;
 use coordination::quarantine::Policy;
 use coordination::quarantine::Quarantine;
-use coordination::quarantine::Ticket;
+use coordination::quarantine::RunId;
 use coordination::quarantine::Verdict;
-use coordination::quarantine::owners;
+use coordination::quarantine::ranked_owners;
 use coordination::view::Member;
 use coordination::view::View;
 use state::ident::Digest;
@@ -30,28 +30,28 @@
     Quarantine::new(Policy::default())
 }
 
-fn crash(quarantine: &mut Quarantine, ticket: u128) -> usize {
-    assert_ne!(quarantine.enter(NOW, A, Ticket(ticket)), WAIT);
-    quarantine.leave(NOW, A, Ticket(ticket), Outcome::Crashed)
+fn crash(quarantine: &mut Quarantine, run_id: u128) -> usize {
+    assert_ne!(quarantine.enter(NOW, A, RunId(run_id)), WAIT);
+    quarantine.leave(NOW, A, RunId(run_id), Outcome::Crashed)
 }
 
 #[test]
 fn an_unproven_digest_runs_at_most_twice_at_once() {
     let mut quarantine = quarantine();
-    assert_eq!(quarantine.enter(NOW, A, Ticket(1)), Verdict::Run);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(2)), Verdict::Run);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(3)), WAIT);
-    quarantine.leave(NOW, A, Ticket(1), Outcome::Stopped);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(3)), Verdict::Run);
+    assert_eq!(quarantine.enter(NOW, A, RunId(1)), Verdict::Run);
+    assert_eq!(quarantine.enter(NOW, A, RunId(2)), Verdict::Run);
+    assert_eq!(quarantine.enter(NOW, A, RunId(3)), WAIT);
+    quarantine.leave(NOW, A, RunId(1), Outcome::Stopped);
+    assert_eq!(quarantine.enter(NOW, A, RunId(3)), Verdict::Run);
 }
 
 #[test]
 fn a_proven_digest_runs_without_bound() {
     let mut quarantine = quarantine();
-    quarantine.enter(NOW, A, Ticket(0));
-    quarantine.leave(NOW, A, Ticket(0), Outcome::Whole);
-    for ticket in 1..100 {
-        assert_eq!(quarantine.enter(NOW, A, Ticket(ticket)), Verdict::Run);
+    quarantine.enter(NOW, A, RunId(0));
+    quarantine.leave(NOW, A, RunId(0), Outcome::Whole);
+    for run_id in 1..100 {
+        assert_eq!(quarantine.enter(NOW, A, RunId(run_id)), Verdict::Run);
     }
 }
 
@@ -59,22 +59,22 @@
 fn a_suspect_runs_once_at_a_time_and_alone_among_suspects() {
     let mut quarantine = quarantine();
     crash(&mut quarantine, 1);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(2)), Verdict::RunAlone);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(3)), WAIT);
-    assert!(quarantine.isolate(NOW, "u", Ticket(2)));
-    assert!(quarantine.isolate(NOW, "u", Ticket(2)));
-    assert!(!quarantine.isolate(NOW, "u", Ticket(9)));
-    quarantine.release("u", Ticket(2));
-    assert!(quarantine.isolate(NOW, "u", Ticket(9)));
+    assert_eq!(quarantine.enter(NOW, A, RunId(2)), Verdict::RunAlone);
+    assert_eq!(quarantine.enter(NOW, A, RunId(3)), WAIT);
+    assert!(quarantine.isolate(NOW, "u", RunId(2)));
+    assert!(quarantine.isolate(NOW, "u", RunId(2)));
+    assert!(!quarantine.isolate(NOW, "u", RunId(9)));
+    quarantine.release("u", RunId(2));
+    assert!(quarantine.isolate(NOW, "u", RunId(9)));
 }
 
 #[test]
 fn a_suspect_is_cleared_by_its_first_success() {
     let mut quarantine = quarantine();
     crash(&mut quarantine, 1);
-    quarantine.enter(NOW, A, Ticket(2));
-    assert_eq!(quarantine.leave(NOW, A, Ticket(2), Outcome::Whole), 0);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(3)), Verdict::Run);
+    quarantine.enter(NOW, A, RunId(2));
+    assert_eq!(quarantine.leave(NOW, A, RunId(2), Outcome::Whole), 0);
+    assert_eq!(quarantine.enter(NOW, A, RunId(3)), Verdict::Run);
 }
 
 #[test]
@@ -82,62 +82,62 @@
     let mut quarantine = quarantine();
     assert_eq!(crash(&mut quarantine, 1), 1);
     assert_eq!(crash(&mut quarantine, 2), 2);
-    let hold = Policy::default().hold;
-    let later = quarantine.enter(NOW + 1_000, A, Ticket(3));
-    assert_eq!(later, Verdict::Held(hold - 1_000));
-    assert_eq!(quarantine.held(), 1);
-    assert_eq!(quarantine.enter(NOW + hold, A, Ticket(3)), Verdict::Run);
+    let hold = Policy::default().quarantine_ms;
+    let later = quarantine.enter(NOW + 1_000, A, RunId(3));
+    assert_eq!(later, Verdict::Quarantined(hold - 1_000));
+    assert_eq!(quarantine.quarantined_count(), 1);
+    assert_eq!(quarantine.enter(NOW + hold, A, RunId(3)), Verdict::Run);
 }
 
 #[test]
 fn two_runs_begun_before_the_first_crash_are_the_last() {
     let mut quarantine = quarantine();
-    quarantine.enter(NOW, A, Ticket(1));
-    quarantine.enter(NOW, A, Ticket(2));
-    quarantine.leave(NOW, A, Ticket(1), Outcome::Crashed);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(3)), WAIT);
-    quarantine.leave(NOW, A, Ticket(2), Outcome::Crashed);
-    let held = Verdict::Held(Policy::default().hold);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(3)), held);
+    quarantine.enter(NOW, A, RunId(1));
+    quarantine.enter(NOW, A, RunId(2));
+    quarantine.leave(NOW, A, RunId(1), Outcome::Crashed);
+    assert_eq!(quarantine.enter(NOW, A, RunId(3)), WAIT);
+    quarantine.leave(NOW, A, RunId(2), Outcome::Crashed);
+    let held = Verdict::Quarantined(Policy::default().quarantine_ms);
+    assert_eq!(quarantine.enter(NOW, A, RunId(3)), held);
 }
 
 #[test]
 fn a_run_whose_router_died_stops_counting() {
     let mut quarantine = quarantine();
     crash(&mut quarantine, 1);
-    quarantine.enter(NOW, A, Ticket(2));
-    let lease = Policy::default().lease;
-    assert!(quarantine.renew(NOW + (lease - 1), A, Ticket(2)));
-    assert_eq!(quarantine.enter(NOW + lease, A, Ticket(3)), WAIT);
+    quarantine.enter(NOW, A, RunId(2));
+    let lease = Policy::default().lease_ms;
+    assert!(quarantine.renew(NOW + (lease - 1), A, RunId(2)));
+    assert_eq!(quarantine.enter(NOW + lease, A, RunId(3)), WAIT);
     let over = NOW + (2 * lease - 1);
-    assert_eq!(quarantine.enter(over, A, Ticket(3)), Verdict::RunAlone);
-    assert!(!quarantine.renew(over, A, Ticket(2)));
+    assert_eq!(quarantine.enter(over, A, RunId(3)), Verdict::RunAlone);
+    assert!(!quarantine.renew(over, A, RunId(2)));
 }
 
 #[test]
 fn a_new_owner_knows_the_crashes_that_it_was_told_of() {
     let mut quarantine = quarantine();
     quarantine.adopt(NOW, A, 1);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(1)), Verdict::RunAlone);
+    assert_eq!(quarantine.enter(NOW, A, RunId(1)), Verdict::RunAlone);
     quarantine.adopt(NOW, A, 2);
-    let held = Verdict::Held(Policy::default().hold);
-    assert_eq!(quarantine.enter(NOW, A, Ticket(2)), held);
+    let held = Verdict::Quarantined(Policy::default().quarantine_ms);
+    assert_eq!(quarantine.enter(NOW, A, RunId(2)), held);
 }
 
 #[test]
 fn memory_is_bounded_and_forgets_what_is_over() {
     let policy = Policy {
-        records: 10,
+        max_records: 10,
         ..Policy::default()
     };
     let mut quarantine = Quarantine::new(policy);
     for i in 0..100 {
         let digest = Digest([i; 32]);
-        quarantine.enter(NOW, digest, Ticket(1));
-        quarantine.leave(NOW, digest, Ticket(1), Outcome::Whole);
+        quarantine.enter(NOW, digest, RunId(1));
+        quarantine.leave(NOW, digest, RunId(1), Outcome::Whole);
         assert!(quarantine.len() <= 11);
     }
-    quarantine.prune(NOW + policy.memory);
+    quarantine.prune(NOW + policy.memory_ms);
     assert!(quarantine.is_empty());
 }
 
@@ -168,7 +168,7 @@
 }
 
 fn owner(view: &View, digest: Digest) -> String {
-    owners(view, digest)[0].record.host.clone()
+    ranked_owners(view, digest)[0].record.host.clone()
 }
 
 #[test]
@@ -195,7 +195,7 @@
     let leaves = view("h1", "h2");
     for i in 0..100_u32 {
         let digest = Digest::of(&[&i.to_le_bytes()]);
-        let ranked = owners(&stays, digest);
+        let ranked = ranked_owners(&stays, digest);
         let first = ranked.iter().find(|m| m.record.host != "h2").unwrap();
         assert_eq!(owner(&leaves, digest), first.record.host);
     }
@@ -207,7 +207,7 @@
     digest: Digest,
     poison: bool,
     state: State,
-    ticket: Ticket,
+    run_id: RunId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -227,7 +227,7 @@
             digest: Digest([if i < copies { 0 } else { i as u8 }; 32]),
             poison: i < copies,
             state: State::Waiting,
-            ticket: Ticket(i as u128),
+            run_id: RunId(i as u128),
         })
         .collect();
     let mut crashes = 0;
@@ -240,8 +240,8 @@
             State::Waiting => {
                 let upstream = rng.random_range(0..upstreams);
                 let name = format!("u{upstream}");
-                let alone = match quarantine.enter(now, flight.digest, flight.ticket) {
-                    Verdict::Held(_) => {
+                let alone = match quarantine.enter(now, flight.digest, flight.run_id) {
+                    Verdict::Quarantined(_) => {
                         flights[i].state = State::Held;
                         continue;
                     }
@@ -249,8 +249,8 @@
                     Verdict::RunAlone => true,
                     Verdict::Wait(_) => continue,
                 };
-                if alone && !quarantine.isolate(now, name, flight.ticket) {
-                    quarantine.leave(now, flight.digest, flight.ticket, Outcome::Stopped);
+                if alone && !quarantine.isolate(now, name, flight.run_id) {
+                    quarantine.leave(now, flight.digest, flight.run_id, Outcome::Stopped);
                     continue;
                 }
                 flights[i].state = State::Running { alone, upstream };
@@ -262,14 +262,14 @@
                         State::Running { upstream: on, .. } if on == upstream => {}
                         _ => continue,
                     }
-                    quarantine.leave(now, other.digest, other.ticket, Outcome::Crashed);
-                    quarantine.release(&format!("u{upstream}"), other.ticket);
+                    quarantine.leave(now, other.digest, other.run_id, Outcome::Crashed);
+                    quarantine.release(&format!("u{upstream}"), other.run_id);
                     other.state = State::Waiting;
                 }
             }
             State::Running { upstream, .. } => {
-                quarantine.leave(now, flight.digest, flight.ticket, Outcome::Whole);
-                quarantine.release(&format!("u{upstream}"), flight.ticket);
+                quarantine.leave(now, flight.digest, flight.run_id, Outcome::Whole);
+                quarantine.release(&format!("u{upstream}"), flight.run_id);
                 flights[i].state = State::Done;
             }
         }
@@ -285,7 +285,7 @@
 fn a_request_sent_through_all_hosts_at_once_takes_down_at_most_two_upstreams() {
     for seed in 0..200 {
         let (crashes, _, _) = fleet(seed, 8, 40, 9);
-        assert!(crashes <= CRASHES, "seed {seed}: {crashes} crashes");
+        assert!(crashes <= MAX_CRASHES, "seed {seed}: {crashes} crashes");
     }
 }
 
--- a/crates/hibiscushoistd/src/stream.rs
+++ b/crates/hibiscushoistd/src/stream.rs
@@ -215,7 +215,7 @@
             }
             let pass = Pass {
                 digest: self.job.digest,
-                ticket: quarantine::Ticket(rand::random()),
+                run_id: quarantine::RunId(rand::random()),
             };
             let ask = self.ask()?;
             let granting = self.context.broker.place(ask);
@@ -226,7 +226,7 @@
             let grant = match granted {
                 Err(error) => {
                     self.context.suspects.leave(pass, Outcome::Stopped).await;
-                    if let Verdict::Held(millis) = verdict {
+                    if let Verdict::Quarantined(millis) = verdict {
                         return Err(self.held(millis));
                     }
                     if !self.may_recover(&error) {
@@ -260,7 +260,7 @@
 
     async fn admit(&self, grant: &Grant, pass: Pass, verdict: Verdict) -> Admission {
         let alone = match verdict {
-            Verdict::Held(millis) => return Admission::Failed(self.held(millis)),
+            Verdict::Quarantined(millis) => return Admission::Failed(self.held(millis)),
             Verdict::Run => false,
             Verdict::RunAlone => true,
             Verdict::Wait(pause) => {
--- a/crates/hibiscushoistd/src/suspects.rs
+++ b/crates/hibiscushoistd/src/suspects.rs
@@ -20,7 +20,7 @@
 use coordination::quarantine::Outcome;
 use coordination::quarantine::Policy;
 use coordination::quarantine::Quarantine;
-use coordination::quarantine::Ticket;
+use coordination::quarantine::RunId;
 use coordination::quarantine::Verdict;
 use coordination::shard;
 use coordination::view::Member;
@@ -69,7 +69,7 @@
     /// Identifies the request's content.
     pub digest: Digest,
     /// Names the run.
-    pub ticket: Ticket,
+    pub run_id: RunId,
 }
 
 impl Suspects {
@@ -101,11 +101,11 @@
 
     /// Asks whether the request may run.
     pub async fn enter(&self, pass: Pass) -> Verdict {
-        let call = Call::Enter(pass.digest, pass.ticket);
+        let call = Call::Enter(pass.digest, pass.run_id);
         let Answer::Verdict(verdict) = self.ask_owner(pass.digest, call).await else {
             return Verdict::Run;
         };
-        if let Verdict::Held(_) = verdict {
+        if let Verdict::Quarantined(_) = verdict {
             metrics::counter!(metric::QUARANTINED).increment(1);
         }
         verdict
@@ -113,7 +113,7 @@
 
     /// Asks to be the only suspect on `upstream`.
     pub async fn isolate(&self, upstream: &str, pass: Pass) -> bool {
-        let call = Call::Isolate(upstream.to_owned(), pass.ticket);
+        let call = Call::Isolate(upstream.to_owned(), pass.run_id);
         self.ask_broker(upstream, call).await == Answer::Isolated(true)
     }
 
@@ -121,7 +121,7 @@
     pub async fn leave(&self, pass: Pass, outcome: Outcome) {
         let name: &'static str = outcome.into();
         metrics::counter!(metric::RUNS, "outcome" => name).increment(1);
-        let call = Call::Leave(pass.digest, pass.ticket, outcome);
+        let call = Call::Leave(pass.digest, pass.run_id, outcome);
         let answer = self.ask_owner(pass.digest, call).await;
         if let (Outcome::Crashed, Answer::Left(crashes)) = (outcome, answer) {
             let adopt = Call::Adopt(pass.digest, crashes);
@@ -131,7 +131,7 @@
 
     /// Frees `upstream` for other suspects.
     pub async fn release(&self, upstream: &str, pass: Pass) {
-        let call = Call::Release(upstream.to_owned(), pass.ticket);
+        let call = Call::Release(upstream.to_owned(), pass.run_id);
         self.ask_broker(upstream, call).await;
     }
 
@@ -139,7 +139,7 @@
     pub async fn renew(&self, upstream: &str, pass: Pass, alone: bool) {
         loop {
             tokio::time::sleep(RENEWAL).await;
-            let call = Call::Renew(pass.digest, pass.ticket);
+            let call = Call::Renew(pass.digest, pass.run_id);
             self.ask_owner(pass.digest, call).await;
             if alone {
                 self.isolate(upstream, pass).await;
@@ -156,7 +156,7 @@
 
     async fn ask_owner(&self, digest: Digest, call: Call) -> Answer {
         let view = self.view();
-        self.ask(quarantine::owners(&view, digest), &view, call)
+        self.ask(quarantine::ranked_owners(&view, digest), &view, call)
             .await
     }
 
@@ -193,7 +193,7 @@
     async fn spread(&self, digest: Digest, call: &Call) {
         let view = self.view();
         self.answer(call.clone());
-        let ranked = quarantine::owners(&view, digest);
+        let ranked = quarantine::ranked_owners(&view, digest);
         let next: Vec<&String> = ranked.iter().take(HEIRS).map(|m| &m.record.host).collect();
         let mut heirs = Vec::new();
         for member in &view.hosts {
