--- a/crates/coordination/src/gossip.rs
+++ b/crates/coordination/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What the failure detectors of two hosts tell each other, and what each is told and tells.
+//! Messages, events and effects of the failure detector.
 
 use std::net::SocketAddr;
 
@@ -9,119 +9,120 @@
 use crate::host::Record;
 use crate::host::Version;
 
-/// Names a call of this host until it is answered.
+/// Identifies a call that this host made, until it is answered or failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CallId(pub u64);
 
-/// Names a call of another host until this one answers it.
+/// Identifies a call that another host made to this one, until this host answers it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct InboundCallId(pub u64);
 
-/// Tells what a message is for.
+/// The purpose of a message, and what it carries for it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Body {
-    /// Answers that the probed host is there.
+    /// Reply: the probed host is up.
     Ack,
-    /// Answers that a probe for another host was not answered.
+    /// Reply: a host that was probed on behalf of the caller did not answer.
     Nack,
-    /// Asks for a sign of life.
+    /// Direct probe; the receiver replies with [`Body::Ack`].
     Probe,
-    /// Asks for all reports and brings all that the sender has; the answer has the same form.
+    /// Full exchange of records: carries all records of the sender, and the reply carries all of
+    /// the receiver.
     PushPull(Vec<Record>),
-    /// Asks to probe another host.
+    /// Indirect probe: asks the receiver to probe another host.
     Relay {
-        /// Holds the address of the host.
+        /// Address of the host to probe.
         address: SocketAddr,
-        /// Names the host.
+        /// Name of the host to probe.
         host: String,
     },
 }
 
-/// Carries one message of the failure detector and what changed of late.
+/// A message between two failure detectors, with recent changes piggybacked.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Message {
-    /// Tells what the message is for.
+    /// Purpose of the message.
     pub body: Body,
-    /// Sums up all reports of the sender about hosts that are present.
+    /// Digest of the sender's records of all present hosts.
     pub digest: u64,
-    /// Names the sender.
+    /// Name of the sender.
     pub from: String,
-    /// Reports what changed of late.
+    /// Recently changed records.
     pub updates: Vec<Record>,
-    /// Holds the version of the sender.
+    /// Version of the sender's own record.
     pub version: Version,
 }
 
-/// Tells the failure detector what happened.
+/// An input of the failure detector.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Brings the answer to a call of this host.
+    /// A call of this host was answered.
     Answered(CallId, Message),
-    /// Brings a message from another host, which waits for an answer.
+    /// Another host called and waits for an answer.
     Called(InboundCallId, Message),
-    /// Makes this host want no new work.
+    /// This host starts to drain: it accepts no new work.
     Drain,
-    /// Tells that a call of this host failed.
+    /// A call of this host failed.
     Failed(CallId),
-    /// Makes this host say that it ends.
+    /// This host is about to shut down and leaves the fleet.
     Leave,
-    /// Tells how loaded this host is.
+    /// The load of this host changed.
     Load(Load),
-    /// Replaces the addresses that are asked first.
+    /// The seed addresses changed.
     Seeds(Vec<SocketAddr>),
-    /// Lets time pass; due every [`crate::membership::TICK_MS`].
+    /// Time has passed; due every [`crate::membership::TICK_MS`].
     Tick,
 }
 
-/// Tells what to do.
+/// An action that the failure detector requests.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Has a call of another host answered.
+    /// Answer a call of another host.
     Answer(InboundCallId, Message),
-    /// Has a host called.
+    /// Call a host.
     Call {
-        /// Holds the address of the host.
+        /// Address of the host.
         address: SocketAddr,
-        /// Names the call.
+        /// Identifies the call in its answer.
         call: CallId,
-        /// Names the host, where it is known.
+        /// Name of the host; `None` for a seed whose name is unknown.
         host: Option<String>,
-        /// Holds the message.
+        /// Message to send.
         message: Message,
     },
-    /// Tells of a change in the view.
+    /// Report a change of the view.
     Changed(Change),
 }
 
-/// Tells what changed in the view of this host.
+/// A change in this host's view of the fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Tells that a suspected host objected in time.
+    /// A suspected host refuted the suspicion in time.
     Cleared(String),
-    /// Tells that a host was held to be dead.
+    /// A host was declared dead.
     Died(String),
-    /// Tells that a host began to drain.
+    /// A host began to drain.
     Draining(String),
-    /// Tells that this host hears from nobody.
+    /// No other host answers this one.
     Isolated,
-    /// Tells that a host was seen for the first time or again.
+    /// A host was seen for the first time, or returned after it was dead or had left.
     Joined(String),
-    /// Tells that a host said that it ends.
+    /// A host announced that it shuts down.
     Left(String),
-    /// Tells that a host answers others, but not this one.
+    /// A host answers other hosts, but no longer this one.
     LinkCut(String),
-    /// Tells that a host answers this one again.
+    /// A host answers this one directly again.
     LinkMended(String),
-    /// Tells that the load of a host changed.
+    /// The load of a host changed.
     LoadChanged(String),
-    /// Tells that another host uses the name of this one.
+    /// Another process, at this address, uses the name of this host.
     NameTaken(SocketAddr),
-    /// Tells that this host stood still for that many milliseconds.
+    /// This process did not run for that many milliseconds.
     Paused(u64),
-    /// Tells that a host runs a new process.
+    /// A host runs a new process.
     Restarted(String),
-    /// Tells that this host hears from others again.
+    /// Other hosts answer this one again after it was isolated.
     Reunited,
-    /// Tells that a host does not answer.
+    /// A host does not answer probes.
     Suspected(String),
 }
--- a/crates/coordination/src/host.rs
+++ b/crates/coordination/src/host.rs
@@ -1,4 +1,4 @@
-//! What the fleet knows of each of its hosts.
+//! The record that every host keeps about each host of the fleet.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use strum::Display;
 use strum::EnumIter;
 
-/// Names a role that a host plays.
+/// A role of a host.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, EnumIter, Eq, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -15,18 +15,18 @@
 pub enum Role {
     /// Owns upstreams and places requests on them.
     Broker,
-    /// Terminates callers.
+    /// Accepts the connections of callers.
     Entry,
-    /// Keeps the replicated log on its disk.
+    /// Votes on the replicated log and keeps it on disk.
     Voter,
 }
 
-/// Holds a set of roles in one byte.
+/// A set of roles, as a bit set.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Roles(u8);
 
 impl Roles {
-    /// Returns whether the set holds `role`.
+    /// Returns whether the set contains `role`.
     pub fn contains(self, role: Role) -> bool {
         self.0 & Self::bit(role) != 0
     }
@@ -47,7 +47,8 @@
     }
 }
 
-/// Names how loaded a host is; coarse, so that it seldom changes and costs little to spread.
+/// How loaded a host is. There are only three levels, so that the load seldom changes and costs
+/// little gossip.
 #[derive(
     Clone,
     Copy,
@@ -64,51 +65,52 @@
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Load {
-    /// Means that the host should get less new work.
+    /// The host should get less new work.
     Busy,
-    /// Means that the host has room.
+    /// The host has spare capacity.
     #[default]
     Normal,
-    /// Means that the host should get new work only where no other can.
+    /// The host should get new work only when no other host can take it.
     Overloaded,
 }
 
-const BUSY_PERCENT: u64 = 70;
-const NORMAL_PERCENT: u64 = 55;
-const OVERLOADED_PERCENT: u64 = 95;
-const RELIEVED_PERCENT: u64 = 80;
+const BUSY_FROM_PERCENT: u64 = 70;
+const NORMAL_BELOW_PERCENT: u64 = 55;
+const OVERLOADED_FROM_PERCENT: u64 = 95;
+const BUSY_BELOW_PERCENT: u64 = 80;
 
 impl Load {
-    /// Returns the load after a reading of `percent`; the bounds differ by direction so that a
-    /// steady reading never makes it change back and forth.
+    /// Returns the load after a measurement of `percent`. The thresholds have hysteresis: a load
+    /// rises at a greater percentage than it falls, so that a steady measurement does not make it
+    /// alternate.
     pub fn next(self, percent: u64) -> Self {
         match self {
-            _ if percent >= OVERLOADED_PERCENT => Self::Overloaded,
-            Self::Overloaded if percent >= RELIEVED_PERCENT => Self::Overloaded,
-            Self::Normal if percent < BUSY_PERCENT => Self::Normal,
-            _ if percent < NORMAL_PERCENT => Self::Normal,
+            _ if percent >= OVERLOADED_FROM_PERCENT => Self::Overloaded,
+            Self::Overloaded if percent >= BUSY_BELOW_PERCENT => Self::Overloaded,
+            Self::Normal if percent < BUSY_FROM_PERCENT => Self::Normal,
+            _ if percent < NORMAL_BELOW_PERCENT => Self::Normal,
             _ => Self::Busy,
         }
     }
 }
 
-/// Names what a host is held to be.
+/// The state of a host, as the failure detector sees it.
 #[derive(Clone, Copy, Debug, Deserialize, Display, EnumIter, Eq, Hash, PartialEq, Serialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Standing {
-    /// Means that the host answers.
+    /// The host answers.
     Alive,
-    /// Means that the host did not answer for so long that it is held to be gone.
+    /// The host was suspected and did not refute it in time.
     Dead,
-    /// Means that the host said that it ends.
+    /// The host announced that it shuts down.
     Left,
-    /// Means that the host did not answer, but still may.
+    /// The host did not answer a probe, and may still refute that it is dead.
     Suspect,
 }
 
 impl Standing {
-    /// Returns the rank among reports of one version; the higher one holds.
-    pub fn rank(self) -> u8 {
+    /// Returns the precedence among records of one version: the greater one wins.
+    pub fn precedence(self) -> u8 {
         match self {
             Self::Alive => 0,
             Self::Suspect => 1,
@@ -117,75 +119,75 @@
         }
     }
 
-    /// Returns whether the host may still be there.
+    /// Returns whether the host is alive or suspected.
     pub fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// Orders the reports about a host.
+/// The version of a record; of two records of a host, the one with the greater version wins.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Version {
-    /// Grows with each start of the host's process.
+    /// Identifies the host's process; grows with each start.
     pub run: u64,
-    /// Grows with each change that the host makes to its own report.
+    /// Grows with each change that the host makes to its own record.
     pub incarnation: u32,
 }
 
-/// Holds what a host says of itself.
+/// What a host publishes about itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Profile {
-    /// Names the failure domain.
+    /// Failure domain of the host.
     pub domain: String,
-    /// Tells whether the host is shutting down and wants no new work.
+    /// Whether the host drains: it is shutting down and accepts no new work.
     pub draining: bool,
-    /// Holds the address for callers, where the host is an entry.
+    /// Address for callers, if the host is an entry.
     pub entry: Option<SocketAddr>,
-    /// Holds the address for callers of routed services, where the host takes them.
+    /// Address for callers of routed services, if the host serves them.
     pub gateway: Option<SocketAddr>,
-    /// Tells how loaded the host is.
+    /// Load of the host.
     pub load: Load,
-    /// Holds the address for other daemons.
+    /// Address for the daemons of other hosts.
     pub peer: SocketAddr,
-    /// Names the region.
+    /// Region of the host.
     pub region: String,
-    /// Holds the roles.
+    /// Roles of the host.
     pub roles: Roles,
 }
 
-/// Reports one host.
+/// What is known about one host; gossip spreads it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Names the host.
+    /// Name of the host.
     pub host: String,
-    /// Holds what the host says of itself.
+    /// What the host publishes about itself.
     pub profile: Profile,
-    /// Tells what the host is held to be.
+    /// State of the host, as the failure detector sees it.
     pub standing: Standing,
-    /// Orders this report among others about the host.
+    /// Version of this record.
     pub version: Version,
 }
 
 impl Record {
-    /// Returns whether this report holds against `other`.
+    /// Returns whether this record replaces `other`, a record of the same host.
     pub fn supersedes(&self, other: &Self) -> bool {
-        let key = |record: &Self| (record.version, record.standing.rank());
+        let key = |record: &Self| (record.version, record.standing.precedence());
         key(self) > key(other)
     }
 
-    /// Returns whether the host takes new work.
+    /// Returns whether the host accepts new work.
     pub fn takes_work(&self) -> bool {
         self.standing.is_present() && !self.profile.draining
     }
 
-    /// Returns a hash of the host, its version and its standing.
+    /// Returns a hash of the host's name, its version and its standing.
     pub fn digest(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.version.run.to_le_bytes());
         hasher.update(&self.version.incarnation.to_le_bytes());
-        hasher.update(&[self.standing.rank()]);
+        hasher.update(&[self.standing.precedence()]);
         hasher.update(self.host.as_bytes());
         let mut digest = [0; 8];
         digest.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which hosts the fleet has, found out by probes and spread by gossip.
+//! A failure detector: finds the hosts of the fleet, probes them and spreads changes by gossip.
 //!
-//! Each host probes one other in each period, in a shuffled round. A host that does not answer is
-//! asked through others; one that answers nobody is suspected, and dead when it does not object in
-//! time. What changed travels with the probes and their answers, so that the cost for each host
-//! does not depend on how many there are. A digest of all reports shows when two hosts disagree;
-//! then they exchange everything.
+//! Each host probes one other host per period, in a round in random order. When a host does not
+//! answer, other hosts probe it too; when it answers none of them, it is suspected, and declared
+//! dead unless it refutes that in time. Changes are piggybacked on the probes and their answers, so
+//! that the cost for each host does not depend on the number of hosts. Each message carries a
+//! digest of all records; when two hosts differ in it, they exchange all their records.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,85 +28,97 @@
 use crate::view::View;
 use state::time::Instant;
 
-/// Gives the time between two ticks, in milliseconds.
+/// Time between two ticks, in milliseconds.
 pub const TICK_MS: u64 = 100;
-/// Gives the time between two probes, in milliseconds.
+/// Time between two direct probes, in milliseconds.
 pub const PROBE_PERIOD_MS: u64 = 1_000;
-/// Gives the time that a probe may take before others are asked, in milliseconds.
+/// Time after which an unanswered probe is repeated through other hosts, in milliseconds.
 pub const PROBE_TIMEOUT_MS: u64 = 300;
-/// Gives the time that a suspected host has to object, in milliseconds.
+/// Time that a suspected host has to refute the suspicion, in milliseconds.
 pub const SUSPICION_TIMEOUT_MS: u64 = 3_000;
-/// Bounds how long a call that carries a message may take, in milliseconds.
+/// Timeout of a call that carries a message, in milliseconds.
 pub const CALL_TIMEOUT_MS: u64 = 2_000;
 
+/// Time between two full exchanges while changes are still being spread.
 const BUSY_SYNC_PERIOD_MS: u64 = 10_000;
-const FANOUT: usize = 2;
+const GOSSIP_FANOUT: usize = 2;
 const GOSSIP_PERIOD_MS: u64 = 200;
-const ISOLATION_MS: u64 = 5_000;
-const PAUSE_MS: u64 = 2_000;
-const RELAYS: usize = 3;
-const REVIVE_PERIOD_MS: u64 = 5_000;
+/// Time without any answer after which this host considers itself isolated.
+const ISOLATION_TIMEOUT_MS: u64 = 5_000;
+/// Time between two steps above which this process counts as paused.
+const PAUSE_AFTER_MS: u64 = 2_000;
+const RELAYS_PER_PROBE: usize = 3;
+/// Time between two calls of dead hosts, and of seeds while other hosts are known.
+const RECONNECT_PERIOD_MS: u64 = 5_000;
+/// Time between two calls of the seeds while no other host is known.
 const SEED_PERIOD_MS: u64 = 500;
-const SLOWEST: u64 = 4;
+const MAX_TIMEOUT_MULTIPLIER: u64 = 4;
+/// Time between two full exchanges while no change is being spread.
 const SYNC_PERIOD_MS: u64 = 2_000;
 
-/// Sets up a failure detector.
+/// The configuration of a failure detector.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Names this host.
+    /// Name of this host.
     pub host: String,
-    /// Holds what this host says of itself.
+    /// What this host publishes about itself.
     pub profile: Profile,
-    /// Grows with each start of this host's process; the time of the start will do.
+    /// Identifies this process; must grow with each start, as the time of the start does.
     pub run: u64,
-    /// Holds the seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Lists the addresses to ask first.
+    /// Addresses of the hosts to call while no other host is known.
     pub seeds: Vec<SocketAddr>,
 }
 
+/// The reason for a call of this host, which decides what its answer means.
 #[derive(Clone, Debug)]
-enum Pending {
+enum Purpose {
+    /// Exchange updates or all records; a missing answer means nothing.
     Exchange,
+    /// Probe `host` directly.
     Probe { host: String },
+    /// Have another host probe `host`.
     Relay { host: String },
-    Relayed { asked: InboundCallId, host: String },
+    /// Probe `host` on behalf of `caller`.
+    RelayedProbe { caller: InboundCallId, host: String },
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
-    at: Instant,
-    pending: Pending,
+struct OutboundCall {
+    sent_at: Instant,
+    purpose: Purpose,
 }
 
+/// A probe of `host` under way: direct at first, then through relays.
 #[derive(Clone, Debug)]
 struct Probe {
-    asked_others: bool,
+    relayed: bool,
     host: String,
     since: Instant,
-    waits: usize,
+    relays_left: usize,
 }
 
-/// Detects failures of hosts and keeps the reports about them.
+/// Detects failures of hosts and keeps a record of each host.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    calls: BTreeMap<CallId, Sent>,
+    calls: BTreeMap<CallId, OutboundCall>,
     effects: Vec<Effect>,
-    gossiped: Instant,
-    heard: Instant,
+    last_gossip: Instant,
+    last_answer: Instant,
     isolated: bool,
     next_call: u64,
     now: Option<Instant>,
-    probed: Instant,
+    last_probe: Instant,
     probes: Vec<Probe>,
-    revived: Instant,
+    last_dead_call: Instant,
     rng: ChaCha8Rng,
     roster: Roster,
-    round: Vec<String>,
-    seeded: Option<Instant>,
+    probe_round: Vec<String>,
+    last_seed_call: Option<Instant>,
     seeds: Vec<SocketAddr>,
-    slowness: u64,
-    synced: Instant,
+    timeout_multiplier: u64,
+    last_sync: Instant,
 }
 
 impl Membership {
@@ -116,48 +128,50 @@
         Self {
             calls: BTreeMap::new(),
             effects: Vec::new(),
-            gossiped: start,
-            heard: start,
+            last_gossip: start,
+            last_answer: start,
             isolated: false,
             next_call: 0,
             now: None,
-            probed: start,
+            last_probe: start,
             probes: Vec::new(),
-            revived: start,
+            last_dead_call: start,
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             roster: Roster::new(options.host, options.profile, options.run),
-            round: Vec::new(),
-            seeded: None,
+            probe_round: Vec::new(),
+            last_seed_call: None,
             seeds: options.seeds,
-            slowness: 1,
-            synced: start,
+            timeout_multiplier: 1,
+            last_sync: start,
         }
     }
 
-    /// Takes `event` at `now` and returns what to do.
+    /// Processes `event` at `now` and returns the resulting effects.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
-        self.pass_time(now);
+        self.advance_clock(now);
         match event {
             Event::Answered(call, message) => self.answered(call, message),
-            Event::Called(asked, message) => self.asked(asked, message),
-            Event::Drain => self.roster.restate(|profile| profile.draining = true),
+            Event::Called(caller, message) => self.called(caller, message),
+            Event::Drain => self
+                .roster
+                .update_profile(|profile| profile.draining = true),
             Event::Failed(call) => self.failed(call),
             Event::Leave => self.leave(),
-            Event::Load(load) => self.roster.restate(|profile| profile.load = load),
+            Event::Load(load) => self.roster.update_profile(|profile| profile.load = load),
             Event::Seeds(seeds) => self.seeds = seeds,
             Event::Tick => self.tick(),
         }
-        let changes = self.roster.changes().into_iter().map(Effect::Changed);
+        let changes = self.roster.take_changes().into_iter().map(Effect::Changed);
         self.effects.extend(changes);
         std::mem::take(&mut self.effects)
     }
 
-    /// Sums up all reports about hosts that are present; equal sums mean equal reports.
+    /// Returns the digest of the records of all present hosts; equal digests mean equal records.
     pub fn digest(&self) -> u64 {
         self.roster.digest()
     }
 
-    /// Returns what this host knows of the fleet.
+    /// Returns this host's view of the fleet.
     pub fn view(&self) -> View {
         self.roster.view(self.isolated)
     }
@@ -166,245 +180,247 @@
         self.now.unwrap_or_default()
     }
 
-    fn pass_time(&mut self, now: Instant) {
+    fn advance_clock(&mut self, now: Instant) {
         let before = self.now.replace(now);
         self.roster.set_now(now);
         match before {
             None => {
-                self.heard = now;
-                self.gossiped = now;
-                self.probed = now;
-                self.revived = now;
+                self.last_answer = now;
+                self.last_gossip = now;
+                self.last_probe = now;
+                self.last_dead_call = now;
             }
-            Some(before) if now.since(before) > PAUSE_MS => self.resume(now.since(before)),
+            Some(before) if now.since(before) > PAUSE_AFTER_MS => self.resume(now.since(before)),
             Some(_) => {}
         }
     }
 
-    /// Forgets all that was under way while this host stood still.
-    fn resume(&mut self, gap: u64) {
+    /// Drops all calls and probes from before a pause of this process: their missing answers say
+    /// nothing about the other hosts.
+    fn resume(&mut self, gap_ms: u64) {
         self.calls.clear();
         self.probes.clear();
-        self.heard = self.now();
+        self.last_answer = self.now();
         self.roster.restart_suspicions();
-        self.roster.note(Change::Paused(gap));
+        self.roster.record_change(Change::Paused(gap_ms));
     }
 
     fn tick(&mut self) {
-        if self.roster.object() {
-            self.slow_down();
+        if self.roster.refute() {
+            self.raise_timeout_multiplier();
         }
         self.expire_calls();
         self.expire_probes();
         if !self.isolated {
             self.roster
-                .expire(SUSPICION_TIMEOUT_MS * self.slowness.div_ceil(2));
+                .expire_suspicions(SUSPICION_TIMEOUT_MS * self.timeout_multiplier.div_ceil(2));
         }
-        self.notice_isolation();
-        self.seek();
-        self.revive();
+        self.check_isolation();
+        self.call_seeds();
+        self.call_dead_host();
         self.probe_next();
         self.gossip();
     }
 
     fn answered(&mut self, call: CallId, message: Message) {
-        let Some(sent) = self.calls.remove(&call) else {
+        let Some(call) = self.calls.remove(&call) else {
             return;
         };
-        self.heard = self.now();
+        self.last_answer = self.now();
         self.roster.merge(message.updates);
         let from = message.from;
-        match (sent.pending, message.body) {
-            (Pending::Exchange, Body::PushPull(records)) => self.roster.merge_all(records),
-            (Pending::Exchange, _) => {}
-            (Pending::Probe { host }, Body::Ack) if host == from => self.acked(&host, true),
-            (Pending::Relay { host }, Body::Ack) => self.acked(&host, false),
-            (Pending::Relayed { asked, host }, Body::Ack) if host == from => {
-                self.answer(asked, Body::Ack);
+        match (call.purpose, message.body) {
+            (Purpose::Exchange, Body::PushPull(records)) => self.roster.merge_all(records),
+            (Purpose::Exchange, _) => {}
+            (Purpose::Probe { host }, Body::Ack) if host == from => self.acked(&host, true),
+            (Purpose::Relay { host }, Body::Ack) => self.acked(&host, false),
+            (Purpose::RelayedProbe { caller, host }, Body::Ack) if host == from => {
+                self.answer(caller, Body::Ack);
             }
-            (pending, _) => self.unanswered(pending),
+            (purpose, _) => self.unanswered(purpose),
         }
         if message.digest != self.roster.digest() {
             self.sync(&from);
         }
     }
 
-    fn asked(&mut self, asked: InboundCallId, message: Message) {
+    fn called(&mut self, caller: InboundCallId, message: Message) {
         self.roster.merge(message.updates);
         let disputed = self.roster.get(&message.from).is_some_and(|peer| {
             peer.record.standing != Standing::Alive || peer.record.version > message.version
         });
         if disputed {
-            self.roster.spread(&message.from);
+            self.roster.disseminate(&message.from);
         }
         match message.body {
-            Body::Ack | Body::Nack => self.answer(asked, Body::Nack),
-            Body::Probe => self.answer(asked, Body::Ack),
+            Body::Ack | Body::Nack => self.answer(caller, Body::Nack),
+            Body::Probe => self.answer(caller, Body::Ack),
             Body::PushPull(records) => {
                 self.roster.merge_all(records);
-                let all = self.roster.all();
-                self.answer(asked, Body::PushPull(all));
+                let records = self.roster.records();
+                self.answer(caller, Body::PushPull(records));
             }
             Body::Relay { address, host } => {
-                let pending = Pending::Relayed {
-                    asked,
+                let purpose = Purpose::RelayedProbe {
+                    caller,
                     host: host.clone(),
                 };
-                self.ask(address, Some(host), Body::Probe, pending);
+                self.call(address, Some(host), Body::Probe, purpose);
             }
         }
     }
 
     fn failed(&mut self, call: CallId) {
-        if let Some(sent) = self.calls.remove(&call) {
-            self.unanswered(sent.pending);
+        if let Some(call) = self.calls.remove(&call) {
+            self.unanswered(call.purpose);
         }
     }
 
-    fn unanswered(&mut self, pending: Pending) {
-        match pending {
-            Pending::Exchange => {}
-            Pending::Probe { host } | Pending::Relay { host } => self.missed(&host),
-            Pending::Relayed { asked, .. } => self.answer(asked, Body::Nack),
+    fn unanswered(&mut self, purpose: Purpose) {
+        match purpose {
+            Purpose::Exchange => {}
+            Purpose::Probe { host } | Purpose::Relay { host } => self.probe_failed(&host),
+            Purpose::RelayedProbe { caller, .. } => self.answer(caller, Body::Nack),
         }
     }
 
     fn leave(&mut self) {
         self.roster.leave();
-        for host in self.sample(FANOUT * 2, Peer::is_present) {
-            self.send(&host, Body::Probe, Pending::Exchange);
+        for host in self.sample(GOSSIP_FANOUT * 2, Peer::is_present) {
+            self.send(&host, Body::Probe, Purpose::Exchange);
         }
     }
 
     fn acked(&mut self, host: &str, direct: bool) {
         self.probes.retain(|probe| probe.host != host);
-        self.slowness = (self.slowness - 1).max(1);
-        let before = self.roster.get(host).is_some_and(Peer::is_direct);
-        self.roster.link(host, direct);
-        if before && !direct {
-            self.round.push(host.to_owned());
+        self.timeout_multiplier = (self.timeout_multiplier - 1).max(1);
+        let was_direct = self.roster.get(host).is_some_and(Peer::is_direct);
+        self.roster.record_ack(host, direct);
+        if was_direct && !direct {
+            self.probe_round.push(host.to_owned());
         }
     }
 
-    /// Notes that one of the ways to a probed host gave no answer.
-    fn missed(&mut self, host: &str) {
-        let Some(place) = self.probes.iter().position(|probe| probe.host == host) else {
+    /// Handles a probe that failed on one path, directly or through one relay.
+    fn probe_failed(&mut self, host: &str) {
+        let Some(index) = self.probes.iter().position(|probe| probe.host == host) else {
             return;
         };
-        let probe = &mut self.probes[place];
-        if !probe.asked_others {
-            self.ask_others(place);
+        let probe = &mut self.probes[index];
+        if !probe.relayed {
+            self.probe_indirectly(index);
             return;
         }
-        probe.waits = probe.waits.saturating_sub(1);
-        if probe.waits == 0 {
-            self.give_up(place);
+        probe.relays_left = probe.relays_left.saturating_sub(1);
+        if probe.relays_left == 0 {
+            self.suspect_unanswered(index);
         }
     }
 
-    fn ask_others(&mut self, place: usize) {
-        let host = self.probes[place].host.clone();
+    fn probe_indirectly(&mut self, index: usize) {
+        let host = self.probes[index].host.clone();
         let Some(address) = self.roster.get(&host).map(Peer::address) else {
-            self.probes.swap_remove(place);
+            self.probes.swap_remove(index);
             return;
         };
-        let relays = self.sample(RELAYS, |peer| {
-            let helps = peer.is_direct() && peer.record.standing == Standing::Alive;
-            helps && peer.record.host != host
+        let relays = self.sample(RELAYS_PER_PROBE, |peer| {
+            let can_relay = peer.is_direct() && peer.record.standing == Standing::Alive;
+            can_relay && peer.record.host != host
         });
         let now = self.now();
-        let probe = &mut self.probes[place];
-        probe.asked_others = true;
+        let probe = &mut self.probes[index];
+        probe.relayed = true;
         probe.since = now;
-        probe.waits = relays.len();
+        probe.relays_left = relays.len();
         if relays.is_empty() {
-            self.give_up(place);
+            self.suspect_unanswered(index);
         }
         for relay in relays {
             let body = Body::Relay {
                 address,
                 host: host.clone(),
             };
-            let pending = Pending::Relay { host: host.clone() };
-            self.send(&relay, body, pending);
+            let purpose = Purpose::Relay { host: host.clone() };
+            self.send(&relay, body, purpose);
         }
     }
 
-    fn give_up(&mut self, place: usize) {
-        let host = self.probes.swap_remove(place).host;
+    fn suspect_unanswered(&mut self, index: usize) {
+        let host = self.probes.swap_remove(index).host;
         let standing = self.roster.get(&host).map(|peer| peer.record.standing);
         if standing == Some(Standing::Alive) {
-            self.roster.declare(&host, Standing::Suspect);
+            self.roster.set_standing(&host, Standing::Suspect);
         }
     }
 
-    /// Allows more time, because missing answers of several hosts hint at a fault of this one.
-    fn slow_down(&mut self) {
-        self.slowness = (self.slowness + 1).min(SLOWEST);
+    /// Lengthens the timeouts, because missing answers of several hosts suggest a fault of this
+    /// one.
+    fn raise_timeout_multiplier(&mut self) {
+        self.timeout_multiplier = (self.timeout_multiplier + 1).min(MAX_TIMEOUT_MULTIPLIER);
     }
 
     fn expire_calls(&mut self) {
         let now = self.now();
-        let late = self.calls.iter();
-        let late = late.filter(|(_, sent)| now.since(sent.at) > CALL_TIMEOUT_MS);
-        let late: Vec<CallId> = late.map(|(call, _)| *call).collect();
-        for call in late {
+        let expired = self.calls.iter();
+        let expired = expired.filter(|(_, call)| now.since(call.sent_at) > CALL_TIMEOUT_MS);
+        let expired: Vec<CallId> = expired.map(|(call, _)| *call).collect();
+        for call in expired {
             self.failed(call);
         }
     }
 
     fn expire_probes(&mut self) {
-        let timeout = PROBE_TIMEOUT_MS * self.slowness;
+        let timeout = PROBE_TIMEOUT_MS * self.timeout_multiplier;
         let now = self.now();
-        let is_late = |probe: &&Probe| {
-            let limit = match probe.asked_others {
+        let is_expired = |probe: &&Probe| {
+            let limit = match probe.relayed {
                 false => timeout,
                 true => timeout * 2,
             };
             now.since(probe.since) >= limit
         };
-        let late = self.probes.iter().filter(is_late);
-        let late: Vec<String> = late.map(|probe| probe.host.clone()).collect();
-        for host in late {
-            let Some(place) = self.probes.iter().position(|probe| probe.host == host) else {
+        let expired = self.probes.iter().filter(is_expired);
+        let expired: Vec<String> = expired.map(|probe| probe.host.clone()).collect();
+        for host in expired {
+            let Some(index) = self.probes.iter().position(|probe| probe.host == host) else {
                 continue;
             };
-            match self.probes[place].asked_others {
-                false => self.ask_others(place),
+            match self.probes[index].relayed {
+                false => self.probe_indirectly(index),
                 true => {
-                    self.slow_down();
-                    self.give_up(place);
+                    self.raise_timeout_multiplier();
+                    self.suspect_unanswered(index);
                 }
             }
         }
     }
 
-    fn notice_isolation(&mut self) {
-        let quiet = self.now().since(self.heard) >= ISOLATION_MS;
-        let isolated = quiet && self.roster.present() > 0;
+    fn check_isolation(&mut self) {
+        let timed_out = self.now().since(self.last_answer) >= ISOLATION_TIMEOUT_MS;
+        let isolated = timed_out && self.roster.present_count() > 0;
         if isolated == self.isolated {
             return;
         }
         self.isolated = isolated;
         self.roster.restart_suspicions();
-        self.roster.note(match isolated {
+        self.roster.record_change(match isolated {
             false => Change::Reunited,
             true => Change::Isolated,
         });
     }
 
-    /// Asks the seeds while this host knows nobody, and now and then one that is not known.
-    fn seek(&mut self) {
-        let alone = self.roster.present() == 0;
+    /// Calls all seeds while no other host is known, and otherwise one unknown seed per period.
+    fn call_seeds(&mut self) {
+        let alone = self.roster.present_count() == 0;
         let period = match alone {
-            false => REVIVE_PERIOD_MS,
+            false => RECONNECT_PERIOD_MS,
             true => SEED_PERIOD_MS,
         };
         let now = self.now();
-        if self.seeded.is_some_and(|at| now.since(at) < period) {
+        if self.last_seed_call.is_some_and(|at| now.since(at) < period) {
             return;
         }
-        self.seeded = Some(now);
+        self.last_seed_call = Some(now);
         let mut known: Vec<SocketAddr> = vec![self.roster.me().profile.peer];
         let present = self.roster.iter().filter(|peer| peer.is_present());
         known.extend(present.map(Peer::address));
@@ -415,29 +431,29 @@
             unknown.truncate(1);
         }
         for address in unknown {
-            let all = self.roster.all();
-            self.ask(address, None, Body::PushPull(all), Pending::Exchange);
+            let records = self.roster.records();
+            self.call(address, None, Body::PushPull(records), Purpose::Exchange);
         }
     }
 
-    /// Asks one host that is held to be dead, so that two sides of a healed cut meet again.
-    fn revive(&mut self) {
-        if self.now().since(self.revived) < REVIVE_PERIOD_MS {
+    /// Calls one dead host, so that two sides of a healed network partition find each other again.
+    fn call_dead_host(&mut self) {
+        if self.now().since(self.last_dead_call) < RECONNECT_PERIOD_MS {
             return;
         }
-        self.revived = self.now();
+        self.last_dead_call = self.now();
         let dead = |peer: &Peer| peer.record.standing == Standing::Dead;
         for host in self.sample(1, dead) {
-            let all = self.roster.all();
-            self.send(&host, Body::PushPull(all), Pending::Exchange);
+            let records = self.roster.records();
+            self.send(&host, Body::PushPull(records), Purpose::Exchange);
         }
     }
 
     fn probe_next(&mut self) {
-        if self.now().since(self.probed) < PROBE_PERIOD_MS {
+        if self.now().since(self.last_probe) < PROBE_PERIOD_MS {
             return;
         }
-        self.probed = self.now();
+        self.last_probe = self.now();
         let suspect = |peer: &Peer| peer.record.standing == Standing::Suspect;
         let mut hosts = self.sample(1, suspect);
         hosts.extend(self.next_in_round());
@@ -448,14 +464,14 @@
 
     fn next_in_round(&mut self) -> Option<String> {
         for _ in 0..2 {
-            while let Some(host) = self.round.pop() {
+            while let Some(host) = self.probe_round.pop() {
                 if self.roster.get(&host).is_some_and(Peer::is_present) {
                     return Some(host);
                 }
             }
             let present = self.roster.iter().filter(|peer| peer.is_present());
-            self.round = present.map(|peer| peer.record.host.clone()).collect();
-            self.round.shuffle(&mut self.rng);
+            self.probe_round = present.map(|peer| peer.record.host.clone()).collect();
+            self.probe_round.shuffle(&mut self.rng);
         }
         None
     }
@@ -466,53 +482,55 @@
         }
         let suspect = |peer: &Peer| peer.record.standing == Standing::Suspect;
         if self.roster.get(&host).is_some_and(suspect) {
-            self.roster.spread(&host);
+            self.roster.disseminate(&host);
         }
         self.probes.push(Probe {
-            asked_others: false,
+            relayed: false,
             host: host.clone(),
             since: self.now(),
-            waits: 0,
+            relays_left: 0,
         });
-        let pending = Pending::Probe { host: host.clone() };
-        self.send(&host, Body::Probe, pending);
+        let purpose = Purpose::Probe { host: host.clone() };
+        self.send(&host, Body::Probe, purpose);
     }
 
-    /// Spreads what is new to a few more hosts than the probes reach.
+    /// Spreads changes to a few more hosts than the probes reach.
     fn gossip(&mut self) {
-        if self.roster.is_quiet() || self.now().since(self.gossiped) < GOSSIP_PERIOD_MS {
+        if self.roster.is_fully_disseminated()
+            || self.now().since(self.last_gossip) < GOSSIP_PERIOD_MS
+        {
             return;
         }
-        self.gossiped = self.now();
-        for host in self.sample(FANOUT, |peer| peer.is_present() && peer.is_direct()) {
-            self.send(&host, Body::Probe, Pending::Exchange);
+        self.last_gossip = self.now();
+        for host in self.sample(GOSSIP_FANOUT, |peer| peer.is_present() && peer.is_direct()) {
+            self.send(&host, Body::Probe, Purpose::Exchange);
         }
     }
 
     fn sync(&mut self, host: &str) {
-        let period = match self.roster.is_quiet() {
+        let period = match self.roster.is_fully_disseminated() {
             false => BUSY_SYNC_PERIOD_MS,
             true => SYNC_PERIOD_MS,
         };
-        if self.now().since(self.synced) < period {
+        if self.now().since(self.last_sync) < period {
             return;
         }
-        self.synced = self.now();
-        let all = self.roster.all();
-        self.send(host, Body::PushPull(all), Pending::Exchange);
+        self.last_sync = self.now();
+        let records = self.roster.records();
+        self.send(host, Body::PushPull(records), Purpose::Exchange);
     }
 
-    fn send(&mut self, host: &str, body: Body, pending: Pending) {
+    fn send(&mut self, host: &str, body: Body, purpose: Purpose) {
         if let Some(address) = self.roster.get(host).map(Peer::address) {
-            self.ask(address, Some(host.to_owned()), body, pending);
+            self.call(address, Some(host.to_owned()), body, purpose);
         }
     }
 
-    fn ask(&mut self, address: SocketAddr, host: Option<String>, body: Body, pending: Pending) {
+    fn call(&mut self, address: SocketAddr, host: Option<String>, body: Body, purpose: Purpose) {
         let call = CallId(self.next_call);
         self.next_call += 1;
-        let at = self.now();
-        self.calls.insert(call, Sent { at, pending });
+        let sent_at = self.now();
+        self.calls.insert(call, OutboundCall { sent_at, purpose });
         let message = self.message(body);
         self.effects.push(Effect::Call {
             address,
@@ -522,9 +540,9 @@
         });
     }
 
-    fn answer(&mut self, asked: InboundCallId, body: Body) {
+    fn answer(&mut self, caller: InboundCallId, body: Body) {
         let message = self.message(body);
-        self.effects.push(Effect::Answer(asked, message));
+        self.effects.push(Effect::Answer(caller, message));
     }
 
     fn message(&mut self, body: Body) -> Message {
@@ -532,7 +550,7 @@
             body,
             digest: self.roster.digest(),
             from: self.roster.me().host.clone(),
-            updates: self.roster.updates(),
+            updates: self.roster.take_updates(),
             version: self.roster.me().version,
         }
     }
--- a/crates/coordination/src/roster.rs
+++ b/crates/coordination/src/roster.rs
@@ -1,64 +1,70 @@
-//! The reports about all hosts, and which of two reports holds.
+//! The records of all hosts, and the rules by which a newer record replaces an older one.
+//!
+//! Each host writes its own record. Other hosts only change the standing in it, when a probe fails.
+//! A host that learns that others suspect it, or take it for dead, refutes this by a record with a
+//! greater version.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use crate::dissemination::DisseminationQueue;
+use crate::dissemination::MAX_UPDATES_PER_MESSAGE;
 use crate::gossip::Change;
 use crate::host::Profile;
 use crate::host::Record;
 use crate::host::Standing;
 use crate::host::Version;
-use crate::rumor::Rumors;
-use crate::rumor::UPDATES_PER_MESSAGE;
 use crate::view::Member;
 use crate::view::View;
 use state::time::Instant;
 
-const FORGET_MS: u64 = 24 * 3_600_000;
-const LINK_MISSES: u32 = 2;
+/// Time for which the record of a dead host, or of one that left, is kept.
+const FORGET_AFTER_MS: u64 = 24 * 3_600_000;
+/// Number of successive indirect answers after which the direct link to a host counts as cut.
+const INDIRECT_ACKS_UNTIL_CUT: u32 = 2;
 
-/// Holds what is known of another host.
+/// The state of another host, as this host sees it.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Counts the probes that only reached the host through others.
-    pub misses: u32,
-    /// Holds the report in force.
+    /// Number of successive probes that the host answered only through other hosts.
+    pub indirect_acks: u32,
+    /// Most recent record of the host.
     pub record: Record,
-    /// Tells since when the host has its standing.
+    /// Time since which the host has its present standing.
     pub since: Instant,
 }
 
 impl Peer {
-    /// Returns the address for other daemons.
+    /// Returns the address at which the host answers other daemons.
     pub fn address(&self) -> SocketAddr {
         self.record.profile.peer
     }
 
     /// Returns whether the host answers this one directly.
     pub fn is_direct(&self) -> bool {
-        self.misses < LINK_MISSES
+        self.indirect_acks < INDIRECT_ACKS_UNTIL_CUT
     }
 
-    /// Returns whether the host may still be there.
+    /// Returns whether the host is alive or suspected.
     pub fn is_present(&self) -> bool {
         self.record.standing.is_present()
     }
 }
 
-/// Holds the reports about all hosts.
+/// The records of this host and of all others.
 #[derive(Clone, Debug)]
 pub struct Roster {
     changes: Vec<Change>,
     digest: u64,
     me: Record,
     now: Instant,
-    objection: Option<Version>,
+    disputed_version: Option<Version>,
     peers: BTreeMap<String, Peer>,
-    rumors: Rumors,
+    queue: DisseminationQueue,
 }
 
 impl Roster {
-    /// Returns the reports of a host that knows only itself.
+    /// Returns a roster that contains only this host; `run` identifies its process.
     pub fn new(host: String, profile: Profile, run: u64) -> Self {
         let version = Version {
             run,
@@ -70,86 +76,86 @@
             standing: Standing::Alive,
             version,
         };
-        let mut rumors = Rumors::default();
-        rumors.add(&me.host);
+        let mut queue = DisseminationQueue::default();
+        queue.add(&me.host);
         Self {
             changes: Vec::new(),
             digest: me.digest(),
             me,
             now: Instant::default(),
-            objection: None,
+            disputed_version: None,
             peers: BTreeMap::new(),
-            rumors,
+            queue,
         }
     }
 
-    /// Sets the time at which later changes happen.
+    /// Sets the time of the changes that follow.
     pub fn set_now(&mut self, now: Instant) {
         self.now = now;
     }
 
-    /// Returns the report of this host.
+    /// Returns the record of this host.
     pub fn me(&self) -> &Record {
         &self.me
     }
 
-    /// Returns what is known of another host.
+    /// Returns another host by its name.
     pub fn get(&self, host: &str) -> Option<&Peer> {
         self.peers.get(host)
     }
 
-    /// Iterates over the other hosts in order of name.
+    /// Iterates over the other hosts, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Counts the other hosts that may be there.
-    pub fn present(&self) -> usize {
+    /// Returns the number of other hosts that are alive or suspected.
+    pub fn present_count(&self) -> usize {
         self.iter().filter(|peer| peer.is_present()).count()
     }
 
-    /// Sums up all reports about hosts that are present.
+    /// Returns the digest of the records of all present hosts; equal digests mean equal records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns all reports.
-    pub fn all(&self) -> Vec<Record> {
+    /// Returns all records, that of this host included.
+    pub fn records(&self) -> Vec<Record> {
         let peers = self.iter().map(|peer| peer.record.clone());
         peers.chain([self.me.clone()]).collect()
     }
 
-    /// Returns whether nothing is left to spread.
-    pub fn is_quiet(&self) -> bool {
-        self.rumors.is_empty()
+    /// Returns whether no record is left to spread.
+    pub fn is_fully_disseminated(&self) -> bool {
+        self.queue.is_empty()
     }
 
-    /// Starts to spread the report about `host` anew.
-    pub fn spread(&mut self, host: &str) {
-        self.rumors.add(host);
+    /// Spreads the record of `host` again from the start.
+    pub fn disseminate(&mut self, host: &str) {
+        self.queue.add(host);
     }
 
-    /// Returns the reports to send along with one message.
-    pub fn updates(&mut self) -> Vec<Record> {
-        let hosts = self.rumors.next(self.peers.len() + 1);
-        let report = |host: String| match self.peers.get(&host) {
+    /// Returns the records to piggyback on the next message, and counts them as sent.
+    pub fn take_updates(&mut self) -> Vec<Record> {
+        let hosts = self.queue.take_next(self.peers.len() + 1);
+        let record = |host: String| match self.peers.get(&host) {
             Some(peer) => Some(peer.record.clone()),
             None => (host == self.me.host).then(|| self.me.clone()),
         };
-        hosts.into_iter().filter_map(report).collect()
+        hosts.into_iter().filter_map(record).collect()
     }
 
-    /// Returns what changed since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    /// Returns the changes since the last call.
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Adds a change to those to be returned.
-    pub fn note(&mut self, change: Change) {
+    /// Adds a change to those that [`Roster::take_changes`] returns.
+    pub fn record_change(&mut self, change: Change) {
         self.changes.push(change);
     }
 
-    /// Returns what this host knows of the fleet.
+    /// Returns this host's view of the fleet; `isolated` tells whether no other host answers it.
     pub fn view(&self, isolated: bool) -> View {
         let me = Member {
             reachable: true,
@@ -168,51 +174,52 @@
         }
     }
 
-    /// Takes reports that hold against those known.
+    /// Replaces each record by a given one that supersedes it.
     pub fn merge(&mut self, records: impl IntoIterator<Item = Record>) {
         for record in records {
-            self.take(record);
+            self.merge_record(record);
         }
     }
 
-    /// Takes all reports of another host.
+    /// Merges all records of another host.
     ///
-    /// Many at once are not spread further: they come from a host that others can ask as well.
+    /// When more of them are new than fit into one message, none is spread further: other hosts can
+    /// get them from the same host.
     pub fn merge_all(&mut self, records: Vec<Record>) {
-        let before = self.rumors.clone();
+        let before = self.queue.clone();
         self.merge(records);
-        if self.rumors.len() > before.len() + UPDATES_PER_MESSAGE {
-            self.rumors = before;
+        if self.queue.len() > before.len() + MAX_UPDATES_PER_MESSAGE {
+            self.queue = before;
         }
     }
 
-    /// Holds `host` to be of `standing`.
-    pub fn declare(&mut self, host: &str, standing: Standing) {
+    /// Changes the standing of `host` as this host sees it.
+    pub fn set_standing(&mut self, host: &str, standing: Standing) {
         if let Some(peer) = self.peers.get(host) {
             let mut record = peer.record.clone();
             record.standing = standing;
-            self.take(record);
+            self.merge_record(record);
         }
     }
 
-    /// Notes how `host` answered: directly or only through others.
-    pub fn link(&mut self, host: &str, direct: bool) {
+    /// Records that `host` answered a probe, directly or only through another host.
+    pub fn record_ack(&mut self, host: &str, direct: bool) {
         let Some(peer) = self.peers.get_mut(host) else {
             return;
         };
         let before = peer.is_direct();
-        peer.misses = match direct {
-            false => peer.misses.saturating_add(1),
+        peer.indirect_acks = match direct {
+            false => peer.indirect_acks.saturating_add(1),
             true => 0,
         };
         match (before, peer.is_direct()) {
-            (false, true) => self.note(Change::LinkMended(host.to_owned())),
-            (true, false) => self.note(Change::LinkCut(host.to_owned())),
+            (false, true) => self.record_change(Change::LinkMended(host.to_owned())),
+            (true, false) => self.record_change(Change::LinkCut(host.to_owned())),
             _ => {}
         }
     }
 
-    /// Starts the time of every suspicion anew.
+    /// Restarts the timeout of every suspicion.
     pub fn restart_suspicions(&mut self) {
         for peer in self.peers.values_mut() {
             if peer.record.standing == Standing::Suspect {
@@ -221,51 +228,55 @@
         }
     }
 
-    /// Holds every host to be dead that has been suspected for `limit` milliseconds.
-    pub fn expire(&mut self, limit: u64) {
+    /// Declares every host dead that has been suspected for `timeout_ms` milliseconds, and removes
+    /// hosts that have been gone for a day.
+    pub fn expire_suspicions(&mut self, timeout_ms: u64) {
         let now = self.now;
         let dead: Vec<String> = self
             .iter()
             .filter(|peer| peer.record.standing == Standing::Suspect)
-            .filter(|peer| now.since(peer.since) >= limit)
+            .filter(|peer| now.since(peer.since) >= timeout_ms)
             .map(|peer| peer.record.host.clone())
             .collect();
         for host in dead {
-            self.declare(&host, Standing::Dead);
+            self.set_standing(&host, Standing::Dead);
         }
         self.peers
-            .retain(|_, peer| peer.is_present() || now.since(peer.since) < FORGET_MS);
+            .retain(|_, peer| peer.is_present() || now.since(peer.since) < FORGET_AFTER_MS);
     }
 
-    /// Changes what this host says of itself.
-    pub fn restate(&mut self, change: impl FnOnce(&mut Profile)) {
+    /// Changes the profile of this host and gives its record a greater version.
+    pub fn update_profile(&mut self, change: impl FnOnce(&mut Profile)) {
         let mut profile = self.me.profile.clone();
         change(&mut profile);
         if profile != self.me.profile {
             let version = self.next_version(self.me.version);
-            self.reissue(profile, version, self.me.standing);
+            self.set_own_record(profile, version, self.me.standing);
         }
     }
 
-    /// Makes this host say that it ends.
+    /// Marks this host as having left the fleet.
     pub fn leave(&mut self) {
         let version = self.next_version(self.me.version);
-        self.reissue(self.me.profile.clone(), version, Standing::Left);
+        self.set_own_record(self.me.profile.clone(), version, Standing::Left);
     }
 
-    /// Objects to reports that hold against this host's own; returns whether there were any.
-    pub fn object(&mut self) -> bool {
-        let Some(version) = self.objection.take() else {
+    /// Refutes records of other hosts that supersede this host's own, by a record with a greater
+    /// version; returns whether there were any.
+    pub fn refute(&mut self) -> bool {
+        let Some(version) = self.disputed_version.take() else {
             return false;
         };
         if self.me.standing == Standing::Left || version < self.me.version {
             return false;
         }
         let version = self.next_version(version);
-        self.reissue(self.me.profile.clone(), version, Standing::Alive);
+        self.set_own_record(self.me.profile.clone(), version, Standing::Alive);
         true
     }
 
+    /// Returns a version greater than `seen`. A run greater than this process's own was started
+    /// before a clock that went back, so the run grows and not only the incarnation.
     fn next_version(&self, seen: Version) -> Version {
         match seen.run > self.me.version.run {
             false => Version {
@@ -279,47 +290,51 @@
         }
     }
 
-    fn reissue(&mut self, profile: Profile, version: Version, standing: Standing) {
+    fn set_own_record(&mut self, profile: Profile, version: Version, standing: Standing) {
         self.digest ^= self.me.digest();
         self.me.profile = profile;
         self.me.standing = standing;
         self.me.version = version;
         self.digest ^= self.me.digest();
-        self.rumors.add(&self.me.host);
+        self.queue.add(&self.me.host);
     }
 
-    fn take(&mut self, record: Record) {
+    fn merge_record(&mut self, record: Record) {
         if record.host == self.me.host {
-            self.take_own(&record);
+            self.check_own_record(&record);
             return;
         }
         match self.peers.get(&record.host) {
-            None => self.admit(record),
+            None => self.insert(record),
             Some(known) if record.supersedes(&known.record) => self.replace(record),
             Some(_) => {}
         }
     }
 
-    fn take_own(&mut self, record: &Record) {
+    fn check_own_record(&mut self, record: &Record) {
         if !record.supersedes(&self.me) {
             return;
         }
-        let elsewhere = record.profile.peer != self.me.profile.peer;
-        if elsewhere && record.standing == Standing::Alive {
-            self.note(Change::NameTaken(record.profile.peer));
+        let other_address = record.profile.peer != self.me.profile.peer;
+        if other_address && record.standing == Standing::Alive {
+            self.record_change(Change::NameTaken(record.profile.peer));
         }
-        self.objection = Some(self.objection.unwrap_or_default().max(record.version));
+        self.disputed_version = Some(
+            self.disputed_version
+                .unwrap_or_default()
+                .max(record.version),
+        );
     }
 
-    fn admit(&mut self, record: Record) {
+    fn insert(&mut self, record: Record) {
         let host = record.host.clone();
         if record.standing.is_present() {
             self.digest ^= record.digest();
-            self.note(Change::Joined(host.clone()));
+            self.record_change(Change::Joined(host.clone()));
         }
-        self.rumors.add(&host);
+        self.queue.add(&host);
         let peer = Peer {
-            misses: 0,
+            indirect_acks: 0,
             record,
             since: self.now,
         };
@@ -335,19 +350,19 @@
             peer.since = self.now;
         }
         if !before.standing.is_present() {
-            peer.misses = 0;
+            peer.indirect_acks = 0;
         }
-        for side in [&before, &record] {
-            if side.standing.is_present() {
-                self.digest ^= side.digest();
+        for entry in [&before, &record] {
+            if entry.standing.is_present() {
+                self.digest ^= entry.digest();
             }
         }
-        self.rumors.add(&record.host);
-        self.changes.extend(differences(&before, &record));
+        self.queue.add(&record.host);
+        self.changes.extend(changes_between(&before, &record));
     }
 }
 
-fn differences(before: &Record, after: &Record) -> Vec<Change> {
+fn changes_between(before: &Record, after: &Record) -> Vec<Change> {
     let host = || after.host.clone();
     let mut changes = Vec::new();
     match (before.standing, after.standing) {
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Tests of the failure detector under seeded schedules of faults.
+//! Tests of the failure detector in simulated fleets, under seeded schedules of faults.
 
 mod common;
 mod gossip_sim;
@@ -15,26 +15,30 @@
 
 const HOSTS: usize = 8;
 const JOIN_MS: u64 = 15_000;
-const NOTICE_MS: u64 = 10_000;
+const DETECTION_MS: u64 = 10_000;
 const SEEDS: std::ops::Range<u64> = 0..20;
 
 fn joined(hosts: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::start(hosts, seed);
-    let took = fleet.run_until(JOIN_MS, Fleet::has_converged);
+    let joined_after = fleet.run_until(JOIN_MS, Fleet::has_converged);
     assert!(
-        took.is_some(),
-        "seed {seed}: the hosts do not find each other"
+        joined_after.is_some(),
+        "seed {seed}: the hosts did not find each other"
     );
     fleet.changes.clear();
     fleet
 }
 
 fn suspicions(fleet: &Fleet) -> Vec<&(u64, usize, Change)> {
-    let bad = |change: &Change| matches!(change, Change::Suspected(_) | Change::Died(_));
-    fleet.changes.iter().filter(|(_, _, c)| bad(c)).collect()
+    let is_suspicion = |change: &Change| matches!(change, Change::Suspected(_) | Change::Died(_));
+    fleet
+        .changes
+        .iter()
+        .filter(|(_, _, c)| is_suspicion(c))
+        .collect()
 }
 
-/// Describes a fault and what every other host must hold of host 5 afterwards.
+/// A fault, and the standing that every other host must give host 5 afterwards.
 struct Case {
     fault: fn(&mut Fleet),
     name: &'static str,
@@ -59,27 +63,27 @@
     },
     Case {
         fault: |fleet| fleet.partition(&[5], &[0, 1, 2, 3, 4, 6, 7]),
-        name: "cut off both ways",
+        name: "partitioned from all others",
         standing: Standing::Dead,
     },
     Case {
         fault: |fleet| (0..HOSTS).filter(|p| *p != 5).for_each(|p| fleet.cut(5, p)),
-        name: "cut off one way, what it sends is lost",
+        name: "everything that it sends is lost",
         standing: Standing::Dead,
     },
     Case {
         fault: |fleet| (0..HOSTS).filter(|p| *p != 5).for_each(|p| fleet.cut(p, 5)),
-        name: "cut off one way, what it should get is lost",
+        name: "everything sent to it is lost",
         standing: Standing::Dead,
     },
     Case {
         fault: |fleet| fleet.partition(&[5], &[0, 1, 2]),
-        name: "cut off from three of seven",
+        name: "partitioned from three of seven",
         standing: Standing::Alive,
     },
     Case {
         fault: |fleet| fleet.cut(5, 0),
-        name: "one link cut one way",
+        name: "one link cut in one direction",
         standing: Standing::Alive,
     },
     Case {
@@ -108,21 +112,23 @@
     },
 ];
 
+// Guards against confusing partial faults (a cut link, a one-way partition, a restart) with the
+// death of a host, and against taking down other hosts with it.
 #[test]
-fn every_fault_is_told_from_the_others() {
+fn each_fault_leads_to_its_own_standing_and_affects_no_other_host() {
     for case in CASES {
         for seed in SEEDS {
             let mut fleet = joined(HOSTS, seed);
             (case.fault)(&mut fleet);
-            fleet.run(NOTICE_MS);
-            for observer in (0..HOSTS).filter(|place| *place != 5) {
+            fleet.run(DETECTION_MS);
+            for observer in (0..HOSTS).filter(|index| *index != 5) {
                 assert_eq!(
                     fleet.standing(observer, 5),
                     Some(case.standing),
                     "{}, seed {seed}, seen by {observer}",
                     case.name,
                 );
-                let others = (0..HOSTS).filter(|place| ![5, observer].contains(place));
+                let others = (0..HOSTS).filter(|index| ![5, observer].contains(index));
                 for other in others {
                     let standing = fleet.standing(observer, other);
                     assert_eq!(standing, Some(Standing::Alive), "{}, {seed}", case.name);
@@ -132,8 +138,9 @@
     }
 }
 
+// Probes through relays that are down themselves must not make a healthy host look dead.
 #[test]
-fn a_fault_of_one_host_never_kills_another() {
+fn a_fault_of_one_host_never_makes_another_suspected_or_dead() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.set_state(3, HostState::Frozen);
@@ -151,7 +158,7 @@
 }
 
 #[test]
-fn a_cut_link_is_noticed_and_its_mending_too() {
+fn a_cut_link_makes_a_host_unreachable_until_it_is_restored() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.cut(5, 0);
@@ -165,8 +172,9 @@
     }
 }
 
+// After a pause all probes of the host seem overdue; it must not blame the other hosts for that.
 #[test]
-fn a_frozen_host_comes_back_after_an_hour_and_kills_nobody() {
+fn a_host_frozen_for_an_hour_rejoins_without_suspecting_others() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.set_state(5, HostState::Frozen);
@@ -175,7 +183,9 @@
         fleet.changes.clear();
         fleet.set_state(5, HostState::Runs);
         assert!(
-            fleet.run_until(NOTICE_MS, Fleet::has_converged).is_some(),
+            fleet
+                .run_until(DETECTION_MS, Fleet::has_converged)
+                .is_some(),
             "seed {seed}"
         );
         assert_eq!(
@@ -186,8 +196,9 @@
     }
 }
 
+// A host that gets no answer at all must conclude that it is cut off, not that all others died.
 #[test]
-fn a_host_that_is_cut_off_knows_it_and_holds_nobody_dead() {
+fn a_partitioned_host_is_isolated_and_declares_no_host_dead() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.partition(&[5], &[0, 1, 2, 3, 4, 6, 7]);
@@ -204,8 +215,9 @@
     }
 }
 
+// Each side declares the other dead and no longer probes it, so something else must reconnect them.
 #[test]
-fn two_sides_of_a_cut_of_an_hour_meet_again() {
+fn the_sides_of_a_partition_of_an_hour_merge_again() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
@@ -221,13 +233,13 @@
 }
 
 #[test]
-fn two_sides_of_a_cut_meet_again_with_all_seeds_gone() {
+fn the_sides_of_a_partition_merge_again_without_any_seed() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.partition(&[0, 1, 2, 3], &[4, 5, 6, 7]);
-        fleet.run(NOTICE_MS);
-        (0..3).for_each(|place| fleet.set_state(place, HostState::Killed));
-        fleet.run(NOTICE_MS);
+        fleet.run(DETECTION_MS);
+        (0..3).for_each(|index| fleet.set_state(index, HostState::Killed));
+        fleet.run(DETECTION_MS);
         fleet.heal();
         assert!(
             fleet.run_until(60_000, Fleet::has_converged).is_some(),
@@ -236,14 +248,15 @@
     }
 }
 
+// While this process is paused, the timeout of a suspicion passes, but no refutation can arrive.
 #[test]
-fn a_suspicion_from_before_a_pause_does_not_end_in_a_death() {
+fn a_suspicion_from_before_a_pause_does_not_become_a_death() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.partition(&[5], &[0, 1, 2, 3, 4, 6, 7]);
-        let suspects = |fleet: &Fleet| fleet.view(5).count(Standing::Suspect) > 0;
+        let has_suspect = |fleet: &Fleet| fleet.view(5).count(Standing::Suspect) > 0;
         assert!(
-            fleet.run_until(NOTICE_MS, suspects).is_some(),
+            fleet.run_until(DETECTION_MS, has_suspect).is_some(),
             "seed {seed}"
         );
         fleet.set_state(5, HostState::Frozen);
@@ -251,10 +264,10 @@
         fleet.run(3_600_000);
         fleet.changes.clear();
         fleet.set_state(5, HostState::Runs);
-        fleet.run(NOTICE_MS);
-        let died = |change: &Change| matches!(change, Change::Died(_));
+        fleet.run(DETECTION_MS);
+        let is_death = |change: &Change| matches!(change, Change::Died(_));
         assert!(
-            !fleet.changes.iter().any(|(_, _, c)| died(c)),
+            !fleet.changes.iter().any(|(_, _, c)| is_death(c)),
             "seed {seed}"
         );
         assert!(fleet.has_converged(), "seed {seed}");
@@ -262,10 +275,10 @@
 }
 
 #[test]
-fn a_herd_of_restarts_forms_one_fleet() {
+fn hosts_that_all_restart_at_once_form_one_fleet() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
-        (0..HOSTS).for_each(|place| fleet.restart(place));
+        (0..HOSTS).for_each(|index| fleet.restart(index));
         assert!(
             fleet.run_until(JOIN_MS, Fleet::has_converged).is_some(),
             "seed {seed}"
@@ -281,7 +294,7 @@
 }
 
 #[test]
-fn a_host_that_joins_with_two_seeds_of_three_gone_finds_all() {
+fn a_host_joins_while_two_of_three_seeds_are_gone() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.set_state(0, HostState::Killed);
@@ -295,7 +308,7 @@
 }
 
 #[test]
-fn a_second_host_lost_right_after_a_restart_is_noticed() {
+fn the_loss_of_a_host_right_after_the_restart_of_another_is_detected() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.set_state(4, HostState::Killed);
@@ -304,29 +317,34 @@
         fleet.run(200);
         fleet.set_state(5, HostState::Killed);
         assert!(
-            fleet.run_until(NOTICE_MS, Fleet::has_converged).is_some(),
+            fleet
+                .run_until(DETECTION_MS, Fleet::has_converged)
+                .is_some(),
             "seed {seed}"
         );
     }
 }
 
 #[test]
-fn a_restart_and_a_load_are_told_to_all() {
+fn a_restart_and_a_load_change_reach_every_host() {
     for seed in SEEDS {
         let mut fleet = joined(HOSTS, seed);
         fleet.restart(2);
         fleet.deliver_event(3, Event::Load(Load::Overloaded));
         fleet.run(5_000);
-        for observer in (0..HOSTS).filter(|place| ![2, 3].contains(place)) {
-            let told = |change: Change| {
+        for observer in (0..HOSTS).filter(|index| ![2, 3].contains(index)) {
+            let reported = |change: Change| {
                 fleet
                     .changes
                     .iter()
                     .any(|(_, p, c)| (*p, c) == (observer, &change))
             };
-            assert!(told(Change::Restarted(name(2))), "seed {seed}, {observer}");
             assert!(
-                told(Change::LoadChanged(name(3))),
+                reported(Change::Restarted(name(2))),
+                "seed {seed}, {observer}"
+            );
+            assert!(
+                reported(Change::LoadChanged(name(3))),
                 "seed {seed}, {observer}"
             );
         }
@@ -334,7 +352,7 @@
 }
 
 #[test]
-fn another_host_of_the_same_name_is_reported() {
+fn a_second_host_with_the_same_name_is_reported() {
     let mut fleet = joined(HOSTS, 1);
     let mut record = fleet.view(5).get(name(5)).unwrap().record.clone();
     record.profile.peer = address(7);
@@ -342,63 +360,66 @@
     let mut message = message_from(&fleet, 4);
     message.updates = vec![record];
     fleet.deliver_message(5, message);
-    let taken = Change::NameTaken(address(7));
+    let name_taken = Change::NameTaken(address(7));
     assert!(
         fleet
             .changes
             .iter()
-            .any(|(_, place, c)| (*place, c) == (5, &taken))
+            .any(|(_, index, c)| (*index, c) == (5, &name_taken))
     );
 }
 
-fn message_from(fleet: &Fleet, place: usize) -> coordination::gossip::Message {
-    let view = fleet.view(place);
+fn message_from(fleet: &Fleet, index: usize) -> coordination::gossip::Message {
+    let view = fleet.view(index);
     coordination::gossip::Message {
         body: coordination::gossip::Body::Probe,
         digest: 0,
-        from: name(place),
+        from: name(index),
         updates: Vec::new(),
-        version: view.get(name(place)).unwrap().record.version,
+        version: view.get(name(index)).unwrap().record.version,
     }
 }
 
-/// Returns the bytes and messages that each host sends in a second.
-fn cost(fleet: &mut Fleet) -> (u64, f64) {
+/// Returns the bytes and messages that one host sends per second.
+fn traffic_per_host(fleet: &mut Fleet) -> (u64, f64) {
     const SECONDS: u64 = 20;
     let (bytes, messages) = (fleet.bytes, fleet.messages);
     fleet.run(SECONDS * 1_000);
-    let each = SECONDS * fleet.running().len() as u64;
-    let sent = (fleet.messages - messages) as f64 / each as f64;
-    ((fleet.bytes - bytes) / each, sent)
+    let host_seconds = SECONDS * fleet.running().len() as u64;
+    let sent = (fleet.messages - messages) as f64 / host_seconds as f64;
+    ((fleet.bytes - bytes) / host_seconds, sent)
 }
 
+// The traffic of each host must not grow with the size of the fleet.
 #[test]
-fn a_death_is_known_to_390_hosts_within_seconds_and_costs_no_more_than_among_8() {
+fn a_death_reaches_390_hosts_within_seconds_at_no_more_than_twice_the_traffic_of_8() {
     let mut small = joined(HOSTS, 1);
     small.run(30_000);
     let mut large = joined(390, 1);
     large.run(60_000);
-    let (few, many) = (cost(&mut small), cost(&mut large));
-    println!("seed 1, bytes and messages a second: {few:?} at 8 hosts, {many:?} at 390");
-    assert!(many.0 <= few.0 * 2);
+    let (small_cost, large_cost) = (traffic_per_host(&mut small), traffic_per_host(&mut large));
+    println!(
+        "seed 1, bytes and messages per second: {small_cost:?} at 8 hosts, {large_cost:?} at 390"
+    );
+    assert!(large_cost.0 <= small_cost.0 * 2);
     large.set_state(77, HostState::Killed);
-    let suspected = large.run_until(NOTICE_MS, |fleet| {
-        let places = fleet.running();
-        places
+    let suspected = large.run_until(DETECTION_MS, |fleet| {
+        let indices = fleet.running();
+        indices
             .iter()
             .all(|p| fleet.standing(*p, 77) != Some(Standing::Alive))
     });
-    let dead = large.run_until(NOTICE_MS, Fleet::has_converged);
+    let dead = large.run_until(DETECTION_MS, Fleet::has_converged);
     println!("seed 1, 390 hosts: suspected after {suspected:?} ms, dead {dead:?} ms later");
     assert!(suspected.is_some() && dead.is_some());
 }
 
 #[test]
-fn a_report_is_small() {
+fn a_record_takes_at_most_64_bytes() {
     let fleet = Fleet::start(1, 1);
     let mut record = fleet.view(0).hosts[0].record.clone();
     record.version.run = 1_800_000_000_000;
     let bytes = postcard::to_stdvec(&record).unwrap().len();
-    println!("a report has {bytes} bytes");
+    println!("a record has {bytes} bytes");
     assert!(bytes <= 64);
 }
