--- a/crates/coordination/src/order.rs
+++ b/crates/coordination/src/order.rs
@@ -12,9 +12,9 @@
 
 use state::ident::Digest;
 use state::ledger::Attempt;
+use state::ledger::CallKey;
 use state::ledger::Decision;
 use state::ledger::Intent;
-use state::ledger::Key;
 use state::ledger::Outcome;
 use state::ledger::Report;
 use state::ledger::Response;
@@ -188,7 +188,7 @@
     /// Returns the order and what to do first; `owner` names this asking.
     pub fn new(
         now: Instant,
-        key: Key,
+        key: CallKey,
         digest: Digest,
         owner: u128,
         deadline: Instant,
@@ -196,9 +196,9 @@
     ) -> (Self, Effect) {
         let intent = Intent {
             digest,
-            hold: deadline.since(now) + policy.grace,
+            timeout_ms: deadline.since(now) + policy.grace,
             key,
-            owner,
+            intent_id: owner,
         };
         let order = Self {
             deadline,
@@ -291,7 +291,7 @@
                 Effect::Connect(attempt)
             }
             Decision::Running(_) | Decision::Stale => {
-                self.intent.owner = renewed(self.intent.owner);
+                self.intent.intent_id = renewed(self.intent.intent_id);
                 self.ask_again(now, Refusal::Running)
             }
             Decision::Unknown => refused(Refusal::Unknown),
--- a/crates/coordination/tests/faults.rs
+++ b/crates/coordination/tests/faults.rs
@@ -24,9 +24,9 @@
 use state::edit::Receipt;
 use state::ident::Digest;
 use state::ledger::Attempt;
+use state::ledger::CallKey;
 use state::ledger::Decision;
 use state::ledger::Intent;
-use state::ledger::Key;
 use state::ledger::Outcome;
 use state::ledger::Report;
 use state::ledger::Response;
@@ -255,12 +255,12 @@
 fn begin(owner: u128) -> Command {
     Command::Begin(Intent {
         digest: Digest::of(&[b"book"]),
-        hold: HOLD,
-        key: Key {
+        timeout_ms: HOLD,
+        key: CallKey {
             idempotency: "k".to_owned(),
             workspace: "w".to_owned(),
         },
-        owner,
+        intent_id: owner,
     })
 }
 
@@ -293,7 +293,7 @@
         if crash >= Step::Finish {
             let report = Command::Finish(Report {
                 attempt: Attempt(1),
-                key: Key {
+                key: CallKey {
                     idempotency: "k".to_owned(),
                     workspace: "w".to_owned(),
                 },
--- a/crates/coordination/tests/machine.rs
+++ b/crates/coordination/tests/machine.rs
@@ -12,9 +12,9 @@
 use state::edit::Edit;
 use state::ident::Digest;
 use state::ledger::Attempt;
+use state::ledger::CallKey;
 use state::ledger::Decision;
 use state::ledger::Intent;
-use state::ledger::Key;
 use state::row::Name;
 use state::sheet::Sheet;
 use state::time::Instant;
@@ -86,12 +86,12 @@
     let begin = |owner| {
         Command::Begin(Intent {
             digest: Digest::of(&[b"body"]),
-            hold: 1_000,
-            key: Key {
+            timeout_ms: 1_000,
+            key: CallKey {
                 idempotency: "k".to_owned(),
                 workspace: "w".to_owned(),
             },
-            owner,
+            intent_id: owner,
         })
     };
     let mut machine = StateMachine::default();
--- a/crates/coordination/tests/order.rs
+++ b/crates/coordination/tests/order.rs
@@ -16,8 +16,8 @@
 use coordination::order::Reply;
 use state::ident::Digest;
 use state::ledger::Attempt;
+use state::ledger::CallKey;
 use state::ledger::Decision;
-use state::ledger::Key;
 use state::ledger::Ledger;
 use state::ledger::Outcome;
 use state::ledger::Report;
@@ -28,8 +28,8 @@
 const DEADLINE: Instant = Instant(11_000);
 const A: Attempt = Attempt(1);
 
-fn key() -> Key {
-    Key {
+fn key() -> CallKey {
+    CallKey {
         idempotency: "k".to_owned(),
         workspace: "w".to_owned(),
     }
--- a/crates/coordination/tests/raft_sim/client.rs
+++ b/crates/coordination/tests/raft_sim/client.rs
@@ -16,9 +16,9 @@
 use state::edit::Edit;
 use state::ident::Digest;
 use state::ledger::Attempt;
+use state::ledger::CallKey;
 use state::ledger::Decision;
 use state::ledger::Intent;
-use state::ledger::Key;
 use state::ledger::Outcome;
 use state::ledger::Report;
 use state::ledger::Response;
@@ -260,16 +260,16 @@
 }
 
 fn request(id: u64, input: &Input) -> Request {
-    let key = |name: &str| Key {
+    let key = |name: &str| CallKey {
         idempotency: name.to_owned(),
         workspace: "w".to_owned(),
     };
     Request::Command(match input {
         Input::Begin(name, owner) => Command::Begin(Intent {
             digest: Digest::of(&[name.as_bytes()]),
-            hold: HOLD,
+            timeout_ms: HOLD,
             key: key(name),
-            owner: *owner,
+            intent_id: *owner,
         }),
         Input::Edit(row, revision, weight) => Command::Edit(edit(id, row, *revision, *weight)),
         Input::Finish(name, attempt, outcome) => Command::Finish(Report {
--- a/crates/hibiscushoistd/examples/commits.rs
+++ b/crates/hibiscushoistd/examples/commits.rs
@@ -15,8 +15,8 @@
 use hibiscushoistd::settings::Settings;
 use hibiscushoistd::voter;
 use state::ident::Digest;
+use state::ledger::CallKey;
 use state::ledger::Intent;
-use state::ledger::Key;
 use transport::log;
 
 const ADDRESS: &str = "127.0.8.1";
@@ -97,12 +97,12 @@
 fn intent(idempotency: String) -> Intent {
     Intent {
         digest: Digest::of(&[idempotency.as_bytes()]),
-        hold: 60_000,
-        key: Key {
+        timeout_ms: 60_000,
+        key: CallKey {
             idempotency,
             workspace: "workspace".to_owned(),
         },
-        owner: rand::random(),
+        intent_id: rand::random(),
     }
 }
 
--- a/crates/hibiscushoistd/examples/role_slopes.rs
+++ b/crates/hibiscushoistd/examples/role_slopes.rs
@@ -169,26 +169,26 @@
 
 fn orders() -> StateMachine {
     let limits = ledger::Limits {
-        answer_window: u64::MAX / 4,
-        answers: usize::MAX,
-        bytes: usize::MAX,
-        promise_window: u64::MAX / 4,
-        records: usize::MAX,
-        response: 1 << 20,
+        answer_window_ms: u64::MAX / 4,
+        max_answers: usize::MAX,
+        max_bytes: usize::MAX,
+        dedup_window_ms: u64::MAX / 4,
+        max_records: usize::MAX,
+        max_answer_bytes: 1 << 20,
     };
     let mut machine = StateMachine::new(limits);
     let before = resident_kib();
     let start = Instant::now();
     for number in 0..ORDERS {
-        let key = ledger::Key {
+        let key = ledger::CallKey {
             idempotency: format!("order-{number:08}"),
             workspace: format!("w{}", number % WORKSPACES),
         };
         let intent = ledger::Intent {
             digest: state::ident::Digest::of(&[&number.to_le_bytes()]),
-            hold: 60_000,
+            timeout_ms: 60_000,
             key: key.clone(),
-            owner: u128::from(number),
+            intent_id: u128::from(number),
         };
         let Answer::Begin(Decision::Run(attempt)) = machine.apply(number, &Command::Begin(intent))
         else {
--- a/crates/hibiscushoistd/src/order.rs
+++ b/crates/hibiscushoistd/src/order.rs
@@ -14,7 +14,7 @@
 use coordination::order::Reply;
 use state::ident::Digest;
 use state::ledger::Attempt;
-use state::ledger::Key;
+use state::ledger::CallKey;
 use state::ledger::Response;
 use state::time::Instant;
 use transport::metric;
@@ -34,7 +34,7 @@
     /// Identifies the method, path and body.
     pub digest: Digest,
     /// Names the order.
-    pub key: Key,
+    pub key: CallKey,
     /// Bounds the exchange with the service.
     pub limits: Limits,
 }
--- a/crates/hibiscushoistd/src/service.rs
+++ b/crates/hibiscushoistd/src/service.rs
@@ -36,7 +36,7 @@
 use state::column::Column;
 use state::ident::Digest;
 use state::ledger;
-use state::ledger::Key;
+use state::ledger::CallKey;
 use state::sheet::Sheet;
 use state::table::Table;
 use state::time::Instant;
@@ -83,7 +83,7 @@
 struct Plan {
     call: Call,
     deadline: Instant,
-    key: Option<Key>,
+    key: Option<CallKey>,
     upstreams: Vec<Upstream>,
     workspace: String,
 }
@@ -108,7 +108,7 @@
     let key = match request.header(header::IDEMPOTENCY_KEY) {
         _ if repeatable => None,
         None => return Err(Reason::KeyMissing),
-        Some(key) if (1..=LONGEST_KEY).contains(&key.len()) => Some(Key {
+        Some(key) if (1..=LONGEST_KEY).contains(&key.len()) => Some(CallKey {
             idempotency: format!("{name}/{key}"),
             workspace: workspace.clone(),
         }),
@@ -143,7 +143,7 @@
     }
 
     /// Runs the call as an order, which goes on to its end when the caller leaves.
-    async fn order(self, context: Arc<Context>, key: Key) -> Result<Response<Body>, Failure> {
+    async fn order(self, context: Arc<Context>, key: CallKey) -> Result<Response<Body>, Failure> {
         let method = self.call.method.as_bytes();
         let path = self.call.path.as_bytes();
         let ask = order::Ask {
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -1,10 +1,11 @@
 //! The ledger of calls that may run at most once.
 //!
 //! An attempt is recorded before its first byte leaves, its outcome afterwards. A settled record
-//! keeps the answer for repeats until [`Limits::answer_window`] or [`Limits::answers`] ends that;
-//! its identity then stays known, and repeats stay refused, until [`Limits::promise_window`] ends.
+//! keeps the answer for repeats until [`Limits::answer_window_ms`] or [`Limits::max_answers`] ends
+//! that; its identity then stays known, and repeats stay refused, until
+//! [`Limits::dedup_window_ms`] ends.
 //! Times are those of the replicated log, which may gain on real time by no more than
-//! the promise window's margin of one fiftieth.
+//! the window's margin of one fiftieth.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,10 +16,10 @@
 
 use crate::ident::Digest;
 
-const BUCKETS: u64 = 64;
-const HOUR: u64 = 3_600_000;
-const MARGIN: u64 = 50;
-const SEEN: usize = 16;
+const BUCKETS_PER_WINDOW: u64 = 64;
+const HOUR_MS: u64 = 3_600_000;
+const CLOCK_MARGIN_DIVISOR: u64 = 50;
+const MAX_ANSWERED_INTENTS: usize = 16;
 
 /// Fences one attempt at a call; a later attempt has a greater number.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -51,16 +52,16 @@
     /// Identifies the method, path and body.
     pub digest: Digest,
     /// Gives how long the asker may take, in milliseconds, before the outcome counts as unknown.
-    pub hold: u64,
+    pub timeout_ms: u64,
     /// Names the call.
-    pub key: Key,
+    pub key: CallKey,
     /// Names this asking, so that one resent after a lost answer gets the same attempt.
-    pub owner: u128,
+    pub intent_id: u128,
 }
 
 /// Names a call within its workspace.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Key {
+pub struct CallKey {
     /// Holds the caller's idempotency key.
     pub idempotency: String,
     /// Names the workspace.
@@ -71,17 +72,17 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Limits {
     /// Gives the most answers held.
-    pub answers: usize,
+    pub max_answers: usize,
     /// Gives how long an answer is held, in milliseconds.
-    pub answer_window: u64,
+    pub answer_window_ms: u64,
     /// Gives the most bytes of answers held.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Gives how long a repeat is sure not to run again, in milliseconds.
-    pub promise_window: u64,
+    pub dedup_window_ms: u64,
     /// Gives the most records held, those without an answer included.
-    pub records: usize,
+    pub max_records: usize,
     /// Gives the most bytes of one answer.
-    pub response: usize,
+    pub max_answer_bytes: usize,
 }
 
 /// Tells how an attempt ended.
@@ -101,7 +102,7 @@
     /// Names the attempt.
     pub attempt: Attempt,
     /// Names the call.
-    pub key: Key,
+    pub key: CallKey,
     /// Tells how it ended.
     pub outcome: Outcome,
 }
@@ -127,15 +128,15 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct Bucket {
+struct RetiredBucket {
     ids: BTreeSet<u128>,
     until: u64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct Seen {
+struct AnsweredIntent {
     attempt: Attempt,
-    owner: u128,
+    intent_id: u128,
 }
 
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -148,9 +149,9 @@
 struct Record {
     attempt: Attempt,
     digest: Digest,
-    owner: u128,
+    intent_id: u128,
     phase: Phase,
-    seen: Vec<Seen>,
+    answered_intents: Vec<AnsweredIntent>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -165,9 +166,9 @@
     attempts: u64,
     bytes: usize,
     limits: Limits,
-    open: BTreeSet<(u64, u128)>,
+    deadlines: BTreeSet<(u64, u128)>,
     records: BTreeMap<u128, Record>,
-    retired: VecDeque<Bucket>,
+    retired: VecDeque<RetiredBucket>,
     retired_len: usize,
     settled: VecDeque<Settled>,
 }
@@ -181,17 +182,17 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            answers: 100_000,
-            answer_window: 24 * HOUR,
-            bytes: 32 * 1024 * 1024,
-            promise_window: 48 * HOUR,
-            records: 1_000_000,
-            response: 64 * 1024,
+            max_answers: 100_000,
+            answer_window_ms: 24 * HOUR_MS,
+            max_bytes: 32 * 1024 * 1024,
+            dedup_window_ms: 48 * HOUR_MS,
+            max_records: 1_000_000,
+            max_answer_bytes: 64 * 1024,
         }
     }
 }
 
-impl Key {
+impl CallKey {
     fn id(&self) -> u128 {
         let digest = Digest::of(&[self.workspace.as_bytes(), self.idempotency.as_bytes()]);
         let mut bytes = [0; 16];
@@ -207,7 +208,7 @@
             attempts: 0,
             bytes: 0,
             limits,
-            open: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             records: BTreeMap::new(),
             retired: VecDeque::new(),
             retired_len: 0,
@@ -222,7 +223,7 @@
         if self.retired.iter().any(|bucket| bucket.ids.contains(&id)) {
             return Decision::Expired;
         }
-        if !self.records.contains_key(&id) && self.len() >= self.limits.records {
+        if !self.records.contains_key(&id) && self.len() >= self.limits.max_records {
             return Decision::Full;
         }
         let Some(record) = self.records.get_mut(&id) else {
@@ -232,9 +233,11 @@
             return Decision::Mismatch;
         }
         match &record.phase {
-            Phase::Running { .. } if record.owner == intent.owner => Decision::Run(record.attempt),
+            Phase::Running { .. } if record.intent_id == intent.intent_id => {
+                Decision::Run(record.attempt)
+            }
             Phase::Running { .. } => {
-                record.see(intent.owner);
+                record.record_answered_intent(intent.intent_id);
                 Decision::Running(record.attempt)
             }
             Phase::Settled { outcome, .. } => match outcome {
@@ -247,13 +250,14 @@
 
     /// Ends attempts and windows that are over at the log's time `now`.
     pub fn expire(&mut self, now: u64) {
-        while let Some((deadline, id)) = self.open.first().copied()
+        while let Some((deadline, id)) = self.deadlines.first().copied()
             && deadline <= now
         {
             self.settle(now, id, Outcome::Unknown);
         }
         while let Some(front) = self.settled.front()
-            && (now.saturating_sub(front.at) >= self.limits.answer_window || self.crowded())
+            && (now.saturating_sub(front.at) >= self.limits.answer_window_ms
+                || self.is_over_answer_limits())
         {
             self.retire();
         }
@@ -300,11 +304,11 @@
 
     /// Returns how many attempts have no outcome yet.
     pub fn running(&self) -> usize {
-        self.open.len()
+        self.deadlines.len()
     }
 
-    fn crowded(&self) -> bool {
-        self.settled.len() > self.limits.answers || self.bytes > self.limits.bytes
+    fn is_over_answer_limits(&self) -> bool {
+        self.settled.len() > self.limits.max_answers || self.bytes > self.limits.max_bytes
     }
 
     fn retire(&mut self) {
@@ -323,20 +327,20 @@
         };
         self.bytes -= record.size();
         if !record.is_not_run() {
-            self.remember(at, id);
+            self.retain_id(at, id);
         }
     }
 
-    fn remember(&mut self, at: u64, id: u128) {
-        let width = (self.limits.promise_window / BUCKETS).max(1);
-        let margin = self.limits.promise_window / MARGIN;
-        let until = (at / width + 1) * width + self.limits.promise_window + margin;
+    fn retain_id(&mut self, at: u64, id: u128) {
+        let width = (self.limits.dedup_window_ms / BUCKETS_PER_WINDOW).max(1);
+        let margin = self.limits.dedup_window_ms / CLOCK_MARGIN_DIVISOR;
+        let until = (at / width + 1) * width + self.limits.dedup_window_ms + margin;
         self.retired_len += 1;
         match self.retired.back_mut() {
             Some(bucket) if bucket.until >= until => {
                 bucket.ids.insert(id);
             }
-            _ => self.retired.push_back(Bucket {
+            _ => self.retired.push_back(RetiredBucket {
                 ids: BTreeSet::from([id]),
                 until,
             }),
@@ -346,24 +350,28 @@
     fn run(&mut self, now: u64, id: u128, intent: &Intent) -> Decision {
         self.attempts += 1;
         let attempt = Attempt(self.attempts);
-        let deadline = now.saturating_add(intent.hold);
-        let seen = self.records.remove(&id).map(Record::into_seen);
+        let deadline = now.saturating_add(intent.timeout_ms);
+        let answered_intents = self.records.remove(&id).map(Record::into_answered_intents);
         let record = Record {
             attempt,
             digest: intent.digest,
-            owner: intent.owner,
+            intent_id: intent.intent_id,
             phase: Phase::Running { deadline },
-            seen: seen.unwrap_or_default(),
+            answered_intents: answered_intents.unwrap_or_default(),
         };
         self.records.insert(id, record);
-        self.open.insert((deadline, id));
+        self.deadlines.insert((deadline, id));
         Decision::Run(attempt)
     }
 
     fn run_again(&mut self, now: u64, id: u128, intent: &Intent) -> Decision {
         let record = self.records.get(&id);
-        let late =
-            |r: &Record| r.owner == intent.owner || r.seen.iter().any(|e| e.owner == intent.owner);
+        let late = |r: &Record| {
+            r.intent_id == intent.intent_id
+                || r.answered_intents
+                    .iter()
+                    .any(|e| e.intent_id == intent.intent_id)
+        };
         if record.is_some_and(late) {
             return Decision::Stale;
         }
@@ -375,15 +383,15 @@
             return;
         };
         if let Phase::Running { deadline } = record.phase {
-            self.open.remove(&(deadline, id));
+            self.deadlines.remove(&(deadline, id));
         }
         self.bytes -= record.size();
         record.phase = Phase::Settled { at: now, outcome };
         self.bytes += record.size();
-        if record.size() > self.limits.response {
+        if record.size() > self.limits.max_answer_bytes {
             self.bytes -= record.size();
             self.records.remove(&id);
-            self.remember(now, id);
+            self.retain_id(now, id);
         } else {
             self.settled.push_back(Settled { at: now, id });
         }
@@ -391,28 +399,35 @@
 }
 
 impl Record {
-    fn into_seen(mut self) -> Vec<Seen> {
-        self.see(self.owner);
-        self.seen
+    fn into_answered_intents(mut self) -> Vec<AnsweredIntent> {
+        self.record_answered_intent(self.intent_id);
+        self.answered_intents
     }
 
     /// Remembers an asking that was answered while this attempt was the newest.
-    fn see(&mut self, owner: u128) {
-        if self.seen.iter().any(|seen| seen.owner == owner) {
+    fn record_answered_intent(&mut self, intent_id: u128) {
+        if self
+            .answered_intents
+            .iter()
+            .any(|intent| intent.intent_id == intent_id)
+        {
             return;
         }
-        if self.seen.len() == SEEN {
-            self.seen.remove(0);
+        if self.answered_intents.len() == MAX_ANSWERED_INTENTS {
+            self.answered_intents.remove(0);
         }
-        self.seen.push(Seen {
+        self.answered_intents.push(AnsweredIntent {
             attempt: self.attempt,
-            owner,
+            intent_id,
         });
     }
 
     /// Confirms a late copy of a report that an earlier attempt did not run.
     fn settled_earlier(&self, report: &Report) -> Settlement {
-        let known = self.seen.iter().any(|e| e.attempt == report.attempt);
+        let known = self
+            .answered_intents
+            .iter()
+            .any(|e| e.attempt == report.attempt);
         match report.outcome {
             Outcome::NotRun if known => Settlement::Recorded,
             Outcome::Done(_) | Outcome::NotRun | Outcome::Unknown => Settlement::Stale,
--- a/crates/state/tests/ledger.rs
+++ b/crates/state/tests/ledger.rs
@@ -4,9 +4,9 @@
 
 use state::ident::Digest;
 use state::ledger::Attempt;
+use state::ledger::CallKey;
 use state::ledger::Decision;
 use state::ledger::Intent;
-use state::ledger::Key;
 use state::ledger::Ledger;
 use state::ledger::Limits;
 use state::ledger::Outcome;
@@ -16,25 +16,25 @@
 
 const HOLD: u64 = 1_000;
 const LIMITS: Limits = Limits {
-    answers: 3,
-    answer_window: 10_000,
-    bytes: 1_000,
-    promise_window: 100_000,
-    records: 5,
-    response: 400,
+    max_answers: 3,
+    answer_window_ms: 10_000,
+    max_bytes: 1_000,
+    dedup_window_ms: 100_000,
+    max_records: 5,
+    max_answer_bytes: 400,
 };
 
-fn intent(key: &str, owner: u128) -> Intent {
+fn intent(key: &str, intent_id: u128) -> Intent {
     Intent {
         digest: Digest::of(&[b"body"]),
-        hold: HOLD,
+        timeout_ms: HOLD,
         key: name(key),
-        owner,
+        intent_id,
     }
 }
 
-fn name(key: &str) -> Key {
-    Key {
+fn name(key: &str) -> CallKey {
+    CallKey {
         idempotency: key.to_owned(),
         workspace: "w".to_owned(),
     }
--- a/crates/transport/examples/durability.rs
+++ b/crates/transport/examples/durability.rs
@@ -21,8 +21,8 @@
 use state::edit::Edit;
 use state::ident::Digest;
 use state::ledger::Attempt;
+use state::ledger::CallKey;
 use state::ledger::Intent;
-use state::ledger::Key;
 use state::ledger::Limits;
 use state::ledger::Outcome;
 use state::ledger::Report;
@@ -116,7 +116,7 @@
 
 fn ledger() {
     let limits = Limits {
-        answers: CALLS as usize,
+        max_answers: CALLS as usize,
         ..Limits::default()
     };
     let mut machine = StateMachine::new(limits.clone());
@@ -135,7 +135,7 @@
     let bytes = data.len() as u64 / CALLS;
     println!("ledger: {CALLS} answered calls of 128 bytes: {held} bytes each in memory");
     println!("ledger: {bytes} bytes each in a snapshot, written in {encode:?}, read in {decode:?}");
-    machine.apply(limits.answer_window, &begin(CALLS));
+    machine.apply(limits.answer_window_ms, &begin(CALLS));
     let data = machine.snapshot().expect("the state encodes");
     println!(
         "ledger: {} bytes each once the answer is gone",
@@ -146,9 +146,9 @@
 fn begin(number: u64) -> Command {
     Command::Begin(Intent {
         digest: Digest::of(&[&number.to_le_bytes()]),
-        hold: 60_000,
+        timeout_ms: 60_000,
         key: key(number),
-        owner: u128::from(number),
+        intent_id: u128::from(number),
     })
 }
 
@@ -164,8 +164,8 @@
     })
 }
 
-fn key(number: u64) -> Key {
-    Key {
+fn key(number: u64) -> CallKey {
+    CallKey {
         idempotency: format!("{number:032x}"),
         workspace: "workspace".to_owned(),
     }
