--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -2,9 +2,9 @@
 //!
 //! Each digest of a request's content has one owner among the daemons, the first of
 //! [`ranked_owners`], which is asked before every run. Until a run succeeds, runs in flight and
-//! crashes of a digest together never exceed [`MAX_CRASHES`]. A digest that was in flight at a crash
-//! is a suspect: its next run shares its upstream with no other suspect, its first success clears
-//! it, and its second crash quarantines it.
+//! crashes of a digest together never exceed [`MAX_CRASHES`]. A digest that was in flight when its
+//! upstream crashed is a suspect: its next run shares its upstream with no other suspect, its first
+//! success clears it, and its second crash quarantines it.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -23,21 +23,21 @@
 use state::ident::Digest;
 use state::time::Instant;
 
-/// Bounds the upstreams that one digest may crash.
+/// Upper limit on the upstreams that one digest may crash.
 pub const MAX_CRASHES: usize = 2;
 
-/// Bounds times and sizes.
+/// The time and size limits of a quarantine.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
-    /// Gives how long a digest is held back after its second crash, in milliseconds.
+    /// Time for which a digest is quarantined after its second crash, in milliseconds.
     pub quarantine_ms: u64,
-    /// Gives how long a run counts without being renewed, in milliseconds.
+    /// Time after which a run that is not renewed no longer counts, in milliseconds.
     pub lease_ms: u64,
-    /// Gives how long a crash or a success is remembered, in milliseconds.
+    /// Time for which a crash or a success is remembered, in milliseconds.
     pub memory_ms: u64,
-    /// Bounds the digests that are remembered.
+    /// Upper limit on the digests that are remembered.
     pub max_records: usize,
-    /// Gives the pause after which an asker that must wait asks again, in milliseconds.
+    /// Time after which a request that must wait asks again, in milliseconds.
     pub retry_ms: u64,
 }
 
@@ -53,24 +53,24 @@
     }
 }
 
-/// Names one run of a digest.
+/// Identifies one run of a digest.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RunId(pub u128);
 
-/// Answers whether a digest may run.
+/// The decision whether a digest may run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
-    /// Means that it is held back for this many milliseconds more.
+    /// It is quarantined for this many more milliseconds.
     Quarantined(u64),
-    /// Means that it may run on any upstream.
+    /// It may run on any upstream.
     Run,
-    /// Means that it may run where no other suspect runs.
+    /// It may run on an upstream on which no other suspect runs.
     RunAlone,
-    /// Means that it must wait this many milliseconds and ask again.
+    /// It must wait this many milliseconds and ask again.
     Wait(u64),
 }
 
-/// Tells how a run ended.
+/// How a run ended.
 #[derive(
     Clone,
     Copy,
@@ -87,37 +87,37 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Outcome {
-    /// Means that the upstream crashed while the request was in flight on it.
+    /// The upstream crashed while the request was in flight on it.
     Crashed,
-    /// Means that the run ended early and proves nothing.
+    /// The run ended early, so that it shows neither a crash nor a success.
     Stopped,
-    /// Means that the whole answer came.
+    /// The whole answer arrived.
     Whole,
 }
 
-/// Asks an owner on behalf of another host.
+/// A call to the owner of a digest, or of an upstream, from another host.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Call {
-    /// Tells of a digest and its crashes so far.
+    /// Copies the crashes of a digest so far to a host that may own it next.
     Adopt(Digest, usize),
     /// Asks whether a digest may run.
     Enter(Digest, RunId),
-    /// Asks to be the only suspect on the upstream of that name.
+    /// Asks to run as the only suspect on the upstream of that name.
     Isolate(String, RunId),
-    /// Tells how a run ended.
+    /// Reports how a run ended.
     Leave(Digest, RunId, Outcome),
     /// Frees the upstream of that name for other suspects.
     Release(String, RunId),
-    /// Prolongs a run.
+    /// Renews the lease of a run.
     Renew(Digest, RunId),
 }
 
-/// Answers a [`Call`].
+/// The answer to a [`Call`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Answer {
-    /// Confirms what was told.
+    /// Confirms a call that needs no other answer.
     Done,
-    /// Answers [`Call::Isolate`].
+    /// Answers [`Call::Isolate`]: whether the suspect may run there.
     Isolated(bool),
     /// Answers [`Call::Leave`] with the crashes so far.
     Left(usize),
@@ -125,10 +125,11 @@
     Verdict(Verdict),
 }
 
-/// Remembers digests on behalf of the fleet.
+/// Tracks the runs and crashes of the digests that this host owns, and which upstreams suspects
+/// run on.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
-    alone: BTreeMap<String, Lease>,
+    isolations: BTreeMap<String, Lease>,
     policy: Policy,
     records: HashMap<Digest, Record>,
 }
@@ -142,35 +143,37 @@
 #[derive(Clone, Debug, Default)]
 struct Record {
     crashes: usize,
-    held: Option<Instant>,
+    quarantined_until: Option<Instant>,
     proven: bool,
     runs: Vec<Lease>,
-    until: Instant,
+    remembered_until: Instant,
 }
 
 impl Quarantine {
-    /// Returns a memory without digests.
+    /// Returns a quarantine that tracks no digests yet.
     pub fn new(policy: Policy) -> Self {
         Self {
-            alone: BTreeMap::new(),
+            isolations: BTreeMap::new(),
             policy,
             records: HashMap::new(),
         }
     }
 
-    /// Takes note of a crash that another owner was told of.
+    /// Records the crashes that an earlier owner of `digest` counted.
     pub fn adopt(&mut self, now: Instant, digest: Digest, crashes: usize) {
         let policy = self.policy;
         let record = self.record(now, digest);
         record.crashes = record.crashes.max(crashes);
         record.proven = false;
-        record.until = now + policy.memory_ms;
+        record.remembered_until = now + policy.memory_ms;
         if record.crashes >= MAX_CRASHES {
-            record.held.get_or_insert(now + policy.quarantine_ms);
+            record
+                .quarantined_until
+                .get_or_insert(now + policy.quarantine_ms);
         }
     }
 
-    /// Answers a call.
+    /// Handles a call and returns the answer.
     pub fn answer(&mut self, now: Instant, call: Call) -> Answer {
         match call {
             Call::Adopt(digest, crashes) => self.adopt(now, digest, crashes),
@@ -191,11 +194,12 @@
         Answer::Done
     }
 
-    /// Answers whether `digest` may run; a permission counts as a run under `run_id`.
+    /// Decides whether `digest` may run. A permitted run is counted under `run_id` until it ends or
+    /// its lease expires.
     pub fn enter(&mut self, now: Instant, digest: Digest, run_id: RunId) -> Verdict {
         let policy = self.policy;
         let record = self.record(now, digest);
-        if let Some(until) = record.held {
+        if let Some(until) = record.quarantined_until {
             return Verdict::Quarantined(until.since(now));
         }
         let lease = Lease {
@@ -206,8 +210,8 @@
             *run = lease;
             return record.verdict();
         }
-        let room = record.proven || record.crashes + record.runs.len() < MAX_CRASHES;
-        if !room {
+        let may_run = record.proven || record.crashes + record.runs.len() < MAX_CRASHES;
+        if !may_run {
             return Verdict::Wait(policy.retry_ms);
         }
         if !record.proven {
@@ -216,12 +220,12 @@
         record.verdict()
     }
 
-    /// Returns whether the suspect of `run_id` may run on `upstream`, which it then holds for the
-    /// time of a lease; asking again prolongs that.
+    /// Returns whether the suspect run `run_id` may run on `upstream`. It then has the upstream to
+    /// itself, among suspects, until its lease expires; asking again renews the lease.
     pub fn isolate(&mut self, now: Instant, upstream: impl Into<String>, run_id: RunId) -> bool {
         let until = now + self.policy.lease_ms;
         let lease = self
-            .alone
+            .isolations
             .entry(upstream.into())
             .or_insert(Lease { run_id, until: now });
         if lease.run_id != run_id && now < lease.until {
@@ -231,7 +235,7 @@
         true
     }
 
-    /// Ends the run of `run_id` and returns how many crashes the digest has now.
+    /// Ends the run `run_id` and returns how many crashes the digest has now.
     pub fn leave(
         &mut self,
         now: Instant,
@@ -246,28 +250,31 @@
             Outcome::Crashed => {
                 record.crashes += 1;
                 record.proven = false;
-                record.until = now + policy.memory_ms;
+                record.remembered_until = now + policy.memory_ms;
                 if record.crashes >= MAX_CRASHES {
-                    record.held = Some(now + policy.quarantine_ms);
+                    record.quarantined_until = Some(now + policy.quarantine_ms);
                 }
             }
             Outcome::Stopped => {}
-            Outcome::Whole if record.held.is_none() => {
+            Outcome::Whole if record.quarantined_until.is_none() => {
                 record.crashes = 0;
                 record.proven = true;
-                record.until = now + policy.memory_ms;
+                record.remembered_until = now + policy.memory_ms;
             }
             Outcome::Whole => {}
         }
         record.crashes
     }
 
-    /// Counts the digests that are held back.
+    /// Returns how many digests are quarantined.
     pub fn quarantined_count(&self) -> usize {
-        self.records.values().filter(|r| r.held.is_some()).count()
+        self.records
+            .values()
+            .filter(|r| r.quarantined_until.is_some())
+            .count()
     }
 
-    /// Counts the digests that are remembered.
+    /// Returns how many digests are remembered.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -277,23 +284,28 @@
         self.records.is_empty()
     }
 
-    /// Forgets what is over.
+    /// Drops expired leases, and the records of digests that have nothing left to remember.
     pub fn prune(&mut self, now: Instant) {
-        self.alone.retain(|_, lease| now < lease.until);
+        self.isolations.retain(|_, lease| now < lease.until);
         for record in self.records.values_mut() {
             record.expire(now);
         }
-        self.records.retain(|_, record| !record.is_blank());
+        self.records.retain(|_, record| !record.is_obsolete());
     }
 
-    /// Frees `upstream` for other suspects, if the suspect of `run_id` holds it.
+    /// Frees `upstream` for other suspects, if the run `run_id` has it to itself.
     pub fn release(&mut self, upstream: &str, run_id: RunId) {
-        if self.alone.get(upstream).is_some_and(|l| l.run_id == run_id) {
-            self.alone.remove(upstream);
+        if self
+            .isolations
+            .get(upstream)
+            .is_some_and(|l| l.run_id == run_id)
+        {
+            self.isolations.remove(upstream);
         }
     }
 
-    /// Prolongs the run of `run_id` and returns whether it still counted.
+    /// Renews the lease of the run `run_id` and returns whether it still counts; a run of a digest
+    /// that has succeeded always does.
     pub fn renew(&mut self, now: Instant, digest: Digest, run_id: RunId) -> bool {
         let until = now + self.policy.lease_ms;
         let record = self.record(now, digest);
@@ -309,14 +321,14 @@
         let full = self.records.len() >= self.policy.max_records;
         if full && !self.records.contains_key(&digest) {
             self.prune(now);
-            self.drop_proven();
+            self.evict_proven();
         }
         let record = self.records.entry(digest).or_default();
         record.expire(now);
         record
     }
 
-    fn drop_proven(&mut self) {
+    fn evict_proven(&mut self) {
         if self.records.len() >= self.policy.max_records {
             self.records.retain(|_, record| !record.proven);
         }
@@ -326,17 +338,20 @@
 impl Record {
     fn expire(&mut self, now: Instant) {
         self.runs.retain(|run| now < run.until);
-        if self.held.is_some_and(|until| now >= until) {
+        if self.quarantined_until.is_some_and(|until| now >= until) {
             *self = Self::default();
         }
-        if self.held.is_none() && now >= self.until {
+        if self.quarantined_until.is_none() && now >= self.remembered_until {
             self.crashes = 0;
             self.proven = false;
         }
     }
 
-    fn is_blank(&self) -> bool {
-        self.crashes == 0 && self.held.is_none() && !self.proven && self.runs.is_empty()
+    fn is_obsolete(&self) -> bool {
+        self.crashes == 0
+            && self.quarantined_until.is_none()
+            && !self.proven
+            && self.runs.is_empty()
     }
 
     fn verdict(&self) -> Verdict {
@@ -347,7 +362,8 @@
     }
 }
 
-/// Ranks the hosts that may own `digest`, the owner first; equal views give equal ranks.
+/// Returns the hosts that may own `digest`, the owner first, ranked by rendezvous hashing; hosts
+/// with equal views get the same order.
 pub fn ranked_owners(view: &View, digest: Digest) -> Vec<&Member> {
     let mut hosts: Vec<&Member> = shard::brokers(view).collect();
     let score = |member: &&Member| Reverse(rendezvous::score(&digest.0, &member.record.host));
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Checks that a request which crashes upstreams takes down at most two, and spares the others.
+//! Checks that a request that crashes upstreams crashes at most two, and that requests which were
+//! in flight beside it are still answered.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -23,44 +24,44 @@
 use state::time::Instant;
 
 const NOW: Instant = Instant(1_000);
-const A: Digest = Digest([1; 32]);
+const DIGEST: Digest = Digest([1; 32]);
 const WAIT: Verdict = Verdict::Wait(20);
 
 fn quarantine() -> Quarantine {
     Quarantine::new(Policy::default())
 }
 
-fn crash(quarantine: &mut Quarantine, run_id: u128) -> usize {
-    assert_ne!(quarantine.enter(NOW, A, RunId(run_id)), WAIT);
-    quarantine.leave(NOW, A, RunId(run_id), Outcome::Crashed)
+fn run_and_crash(quarantine: &mut Quarantine, run_id: u128) -> usize {
+    assert_ne!(quarantine.enter(NOW, DIGEST, RunId(run_id)), WAIT);
+    quarantine.leave(NOW, DIGEST, RunId(run_id), Outcome::Crashed)
 }
 
 #[test]
-fn an_unproven_digest_runs_at_most_twice_at_once() {
+fn a_digest_without_a_success_has_at_most_two_runs_at_once() {
     let mut quarantine = quarantine();
-    assert_eq!(quarantine.enter(NOW, A, RunId(1)), Verdict::Run);
-    assert_eq!(quarantine.enter(NOW, A, RunId(2)), Verdict::Run);
-    assert_eq!(quarantine.enter(NOW, A, RunId(3)), WAIT);
-    quarantine.leave(NOW, A, RunId(1), Outcome::Stopped);
-    assert_eq!(quarantine.enter(NOW, A, RunId(3)), Verdict::Run);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(1)), Verdict::Run);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(2)), Verdict::Run);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(3)), WAIT);
+    quarantine.leave(NOW, DIGEST, RunId(1), Outcome::Stopped);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(3)), Verdict::Run);
 }
 
 #[test]
-fn a_proven_digest_runs_without_bound() {
+fn a_digest_with_a_success_has_any_number_of_runs_at_once() {
     let mut quarantine = quarantine();
-    quarantine.enter(NOW, A, RunId(0));
-    quarantine.leave(NOW, A, RunId(0), Outcome::Whole);
+    quarantine.enter(NOW, DIGEST, RunId(0));
+    quarantine.leave(NOW, DIGEST, RunId(0), Outcome::Whole);
     for run_id in 1..100 {
-        assert_eq!(quarantine.enter(NOW, A, RunId(run_id)), Verdict::Run);
+        assert_eq!(quarantine.enter(NOW, DIGEST, RunId(run_id)), Verdict::Run);
     }
 }
 
 #[test]
-fn a_suspect_runs_once_at_a_time_and_alone_among_suspects() {
+fn a_suspect_has_one_run_at_a_time_and_no_other_suspect_on_its_upstream() {
     let mut quarantine = quarantine();
-    crash(&mut quarantine, 1);
-    assert_eq!(quarantine.enter(NOW, A, RunId(2)), Verdict::RunAlone);
-    assert_eq!(quarantine.enter(NOW, A, RunId(3)), WAIT);
+    run_and_crash(&mut quarantine, 1);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(2)), Verdict::RunAlone);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(3)), WAIT);
     assert!(quarantine.isolate(NOW, "u", RunId(2)));
     assert!(quarantine.isolate(NOW, "u", RunId(2)));
     assert!(!quarantine.isolate(NOW, "u", RunId(9)));
@@ -71,61 +72,61 @@
 #[test]
 fn a_suspect_is_cleared_by_its_first_success() {
     let mut quarantine = quarantine();
-    crash(&mut quarantine, 1);
-    quarantine.enter(NOW, A, RunId(2));
-    assert_eq!(quarantine.leave(NOW, A, RunId(2), Outcome::Whole), 0);
-    assert_eq!(quarantine.enter(NOW, A, RunId(3)), Verdict::Run);
+    run_and_crash(&mut quarantine, 1);
+    quarantine.enter(NOW, DIGEST, RunId(2));
+    assert_eq!(quarantine.leave(NOW, DIGEST, RunId(2), Outcome::Whole), 0);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(3)), Verdict::Run);
 }
 
 #[test]
-fn the_second_crash_holds_a_digest_back_for_a_while() {
+fn the_second_crash_quarantines_a_digest_until_the_time_is_over() {
     let mut quarantine = quarantine();
-    assert_eq!(crash(&mut quarantine, 1), 1);
-    assert_eq!(crash(&mut quarantine, 2), 2);
+    assert_eq!(run_and_crash(&mut quarantine, 1), 1);
+    assert_eq!(run_and_crash(&mut quarantine, 2), 2);
     let hold = Policy::default().quarantine_ms;
-    let later = quarantine.enter(NOW + 1_000, A, RunId(3));
+    let later = quarantine.enter(NOW + 1_000, DIGEST, RunId(3));
     assert_eq!(later, Verdict::Quarantined(hold - 1_000));
     assert_eq!(quarantine.quarantined_count(), 1);
-    assert_eq!(quarantine.enter(NOW + hold, A, RunId(3)), Verdict::Run);
+    assert_eq!(quarantine.enter(NOW + hold, DIGEST, RunId(3)), Verdict::Run);
 }
 
 #[test]
-fn two_runs_begun_before_the_first_crash_are_the_last() {
+fn no_third_run_starts_when_both_runs_in_flight_crash() {
     let mut quarantine = quarantine();
-    quarantine.enter(NOW, A, RunId(1));
-    quarantine.enter(NOW, A, RunId(2));
-    quarantine.leave(NOW, A, RunId(1), Outcome::Crashed);
-    assert_eq!(quarantine.enter(NOW, A, RunId(3)), WAIT);
-    quarantine.leave(NOW, A, RunId(2), Outcome::Crashed);
+    quarantine.enter(NOW, DIGEST, RunId(1));
+    quarantine.enter(NOW, DIGEST, RunId(2));
+    quarantine.leave(NOW, DIGEST, RunId(1), Outcome::Crashed);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(3)), WAIT);
+    quarantine.leave(NOW, DIGEST, RunId(2), Outcome::Crashed);
     let held = Verdict::Quarantined(Policy::default().quarantine_ms);
-    assert_eq!(quarantine.enter(NOW, A, RunId(3)), held);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(3)), held);
 }
 
 #[test]
-fn a_run_whose_router_died_stops_counting() {
+fn a_run_whose_router_died_stops_counting_when_its_lease_expires() {
     let mut quarantine = quarantine();
-    crash(&mut quarantine, 1);
-    quarantine.enter(NOW, A, RunId(2));
+    run_and_crash(&mut quarantine, 1);
+    quarantine.enter(NOW, DIGEST, RunId(2));
     let lease = Policy::default().lease_ms;
-    assert!(quarantine.renew(NOW + (lease - 1), A, RunId(2)));
-    assert_eq!(quarantine.enter(NOW + lease, A, RunId(3)), WAIT);
+    assert!(quarantine.renew(NOW + (lease - 1), DIGEST, RunId(2)));
+    assert_eq!(quarantine.enter(NOW + lease, DIGEST, RunId(3)), WAIT);
     let over = NOW + (2 * lease - 1);
-    assert_eq!(quarantine.enter(over, A, RunId(3)), Verdict::RunAlone);
-    assert!(!quarantine.renew(over, A, RunId(2)));
+    assert_eq!(quarantine.enter(over, DIGEST, RunId(3)), Verdict::RunAlone);
+    assert!(!quarantine.renew(over, DIGEST, RunId(2)));
 }
 
 #[test]
-fn a_new_owner_knows_the_crashes_that_it_was_told_of() {
+fn a_new_owner_takes_over_the_crashes_that_an_earlier_owner_counted() {
     let mut quarantine = quarantine();
-    quarantine.adopt(NOW, A, 1);
-    assert_eq!(quarantine.enter(NOW, A, RunId(1)), Verdict::RunAlone);
-    quarantine.adopt(NOW, A, 2);
+    quarantine.adopt(NOW, DIGEST, 1);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(1)), Verdict::RunAlone);
+    quarantine.adopt(NOW, DIGEST, 2);
     let held = Verdict::Quarantined(Policy::default().quarantine_ms);
-    assert_eq!(quarantine.enter(NOW, A, RunId(2)), held);
+    assert_eq!(quarantine.enter(NOW, DIGEST, RunId(2)), held);
 }
 
 #[test]
-fn memory_is_bounded_and_forgets_what_is_over() {
+fn the_number_of_records_is_limited_and_prune_drops_old_ones() {
     let policy = Policy {
         max_records: 10,
         ..Policy::default()
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn every_host_names_the_same_owner_and_work_is_spread() {
+fn all_hosts_agree_on_the_owner_and_digests_are_spread_evenly() {
     let mut counts = [0; 4];
     for i in 0..4_000_u32 {
         let digest = Digest::of(&[&i.to_le_bytes()]);
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn a_host_that_leaves_hands_its_digests_to_the_next_in_rank() {
+fn digests_of_a_draining_host_go_to_the_next_host_in_rank() {
     let stays = view("h1", "");
     let leaves = view("h1", "h2");
     for i in 0..100_u32 {
@@ -201,9 +202,9 @@
     }
 }
 
-/// Holds one request somewhere in the fleet.
+/// One request and where it is in the simulated fleet.
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct SimRequest {
     digest: Digest,
     poison: bool,
     state: State,
@@ -213,17 +214,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Done,
-    Held,
+    Quarantined,
     Running { alone: bool, upstream: usize },
     Waiting,
 }
 
-/// Runs a fleet in which every request is sent again until it is answered or held back.
-fn fleet(seed: u64, copies: usize, innocents: usize, upstreams: usize) -> (usize, usize, usize) {
+/// Simulates a fleet in which every request is retried until it is answered or quarantined.
+///
+/// Returns the crashes, and how many of the harmless requests were answered and quarantined.
+fn simulate_fleet(
+    seed: u64,
+    copies: usize,
+    harmless: usize,
+    upstreams: usize,
+) -> (usize, usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut quarantine = quarantine();
-    let mut flights: Vec<Flight> = (0..copies + innocents)
-        .map(|i| Flight {
+    let mut requests: Vec<SimRequest> = (0..copies + harmless)
+        .map(|i| SimRequest {
             digest: Digest([if i < copies { 0 } else { i as u8 }; 32]),
             poison: i < copies,
             state: State::Waiting,
@@ -233,31 +241,31 @@
     let mut crashes = 0;
     for step in 0..20_000 {
         let now = NOW + step * 5;
-        let i = rng.random_range(0..flights.len());
-        let flight = flights[i];
-        match flight.state {
-            State::Done | State::Held => {}
+        let i = rng.random_range(0..requests.len());
+        let request = requests[i];
+        match request.state {
+            State::Done | State::Quarantined => {}
             State::Waiting => {
                 let upstream = rng.random_range(0..upstreams);
                 let name = format!("u{upstream}");
-                let alone = match quarantine.enter(now, flight.digest, flight.run_id) {
+                let alone = match quarantine.enter(now, request.digest, request.run_id) {
                     Verdict::Quarantined(_) => {
-                        flights[i].state = State::Held;
+                        requests[i].state = State::Quarantined;
                         continue;
                     }
                     Verdict::Run => false,
                     Verdict::RunAlone => true,
                     Verdict::Wait(_) => continue,
                 };
-                if alone && !quarantine.isolate(now, name, flight.run_id) {
-                    quarantine.leave(now, flight.digest, flight.run_id, Outcome::Stopped);
+                if alone && !quarantine.isolate(now, name, request.run_id) {
+                    quarantine.leave(now, request.digest, request.run_id, Outcome::Stopped);
                     continue;
                 }
-                flights[i].state = State::Running { alone, upstream };
+                requests[i].state = State::Running { alone, upstream };
             }
-            State::Running { upstream, .. } if flight.poison => {
+            State::Running { upstream, .. } if request.poison => {
                 crashes += 1;
-                for other in &mut flights {
+                for other in &mut requests {
                     match other.state {
                         State::Running { upstream: on, .. } if on == upstream => {}
                         _ => continue,
@@ -268,31 +276,35 @@
                 }
             }
             State::Running { upstream, .. } => {
-                quarantine.leave(now, flight.digest, flight.run_id, Outcome::Whole);
-                quarantine.release(&format!("u{upstream}"), flight.run_id);
-                flights[i].state = State::Done;
+                quarantine.leave(now, request.digest, request.run_id, Outcome::Whole);
+                quarantine.release(&format!("u{upstream}"), request.run_id);
+                requests[i].state = State::Done;
             }
         }
     }
-    let innocent = |state| {
-        let mut others = flights[copies..].iter();
+    let count_harmless = |state| {
+        let mut others = requests[copies..].iter();
         others.by_ref().filter(|f| f.state == state).count()
     };
-    (crashes, innocent(State::Done), innocent(State::Held))
+    (
+        crashes,
+        count_harmless(State::Done),
+        count_harmless(State::Quarantined),
+    )
 }
 
 #[test]
-fn a_request_sent_through_all_hosts_at_once_takes_down_at_most_two_upstreams() {
+fn copies_of_one_poison_request_at_once_crash_at_most_two_upstreams() {
     for seed in 0..200 {
-        let (crashes, _, _) = fleet(seed, 8, 40, 9);
+        let (crashes, _, _) = simulate_fleet(seed, 8, 40, 9);
         assert!(crashes <= MAX_CRASHES, "seed {seed}: {crashes} crashes");
     }
 }
 
 #[test]
-fn neighbours_of_one_such_request_are_all_answered() {
+fn harmless_requests_beside_a_poison_request_are_all_answered() {
     for seed in 0..200 {
-        let (_, done, held) = fleet(seed, 1, 40, 9);
+        let (_, done, held) = simulate_fleet(seed, 1, 40, 9);
         assert_eq!((done, held), (40, 0), "seed {seed}");
     }
 }
