--- a/crates/hibiscushoistd/src/admin.rs
+++ b/crates/hibiscushoistd/src/admin.rs
@@ -134,8 +134,8 @@
 fn refused(context: &Context, error: &voter::Error) -> Failure {
     let kind = match error {
         voter::Error::Refused(table::Error::Conflict { .. }) => Kind::Conflict,
-        voter::Error::Refused(table::Error::Reused { .. }) => Kind::KeyReused,
-        voter::Error::Refused(table::Error::Unknown { .. }) => Kind::Unknown,
+        voter::Error::Refused(table::Error::ReusedKey { .. }) => Kind::KeyReused,
+        voter::Error::Refused(table::Error::UnknownRow { .. }) => Kind::Unknown,
         voter::Error::Refused(_) => Kind::BadRequest,
         voter::Error::QuorumAway(_) => Kind::QuorumAway,
         voter::Error::Answer | voter::Error::Unanswered => Kind::OutcomeUnknown,
--- a/crates/hibiscushoistd/tests/pages.rs
+++ b/crates/hibiscushoistd/tests/pages.rs
@@ -14,7 +14,7 @@
 use protocol::operator::Kind;
 use protocol::refusal::Reason;
 use state::column::Column;
-use state::column::Form;
+use state::column::ValueType;
 use state::sheet::Sheet;
 use transport::event::Event;
 
@@ -213,13 +213,16 @@
 }
 
 fn takes(column: Column) -> String {
-    match column.form() {
-        Form::Address => "IP number and port".to_owned(),
-        Form::Choice(words) => words.join(", "),
-        Form::Flag => "true or false".to_owned(),
-        Form::Hash => "64 hexadecimal digits".to_owned(),
-        Form::Name => "a name".to_owned(),
-        Form::Number { least, most } => format!("{least} to {most}"),
+    match column.value_type() {
+        ValueType::Address => "IP number and port".to_owned(),
+        ValueType::Choice(words) => words.join(", "),
+        ValueType::Flag => "true or false".to_owned(),
+        ValueType::Hash => "64 hexadecimal digits".to_owned(),
+        ValueType::Name => "a name".to_owned(),
+        ValueType::Number {
+            min: least,
+            max: most,
+        } => format!("{least} to {most}"),
     }
 }
 #[test]
--- a/crates/state/src/cell.rs
+++ b/crates/state/src/cell.rs
@@ -8,10 +8,10 @@
 use thiserror::Error;
 
 use crate::column::Column;
-use crate::column::Form;
+use crate::column::ValueType;
 
 const HASH_DIGITS: usize = 64;
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_LEN: usize = 64;
 
 /// Holds one value of the table, already checked against its column.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -63,7 +63,7 @@
     },
     /// Reports a text that is not a name.
     #[error(
-        "column `{column}` takes 1 to {LONGEST_NAME} letters, digits, dots, dashes and \
+        "column `{column}` takes 1 to {MAX_NAME_LEN} letters, digits, dots, dashes and \
          underscores, not `{text}`"
     )]
     Name {
@@ -73,14 +73,14 @@
         text: String,
     },
     /// Reports a text that is not a whole number within the column's bounds.
-    #[error("column `{column}` takes a whole number from {least} to {most}, not `{text}`")]
+    #[error("column `{column}` takes a whole number from {min} to {max}, not `{text}`")]
     Number {
         /// Names the column.
         column: Column,
         /// Gives the least number.
-        least: u64,
+        min: u64,
         /// Gives the greatest number.
-        most: u64,
+        max: u64,
         /// Repeats the text.
         text: String,
     },
@@ -93,36 +93,36 @@
     ///
     /// Returns an error that names the column and what it accepts.
     pub fn parse(column: Column, text: &str) -> Result<Self, Error> {
-        let repeat = || text.chars().take(LONGEST_NAME).collect::<String>();
-        match column.form() {
-            Form::Address => text.parse().map(Self::Address).map_err(|_| Error::Address {
+        let excerpt = || text.chars().take(MAX_NAME_LEN).collect::<String>();
+        match column.value_type() {
+            ValueType::Address => text.parse().map(Self::Address).map_err(|_| Error::Address {
                 column,
-                text: repeat(),
+                text: excerpt(),
             }),
-            Form::Choice(words) if words.contains(&text) => Ok(Self::Text(text.to_owned())),
-            Form::Choice(words) => Err(Error::Choice {
+            ValueType::Choice(words) if words.contains(&text) => Ok(Self::Text(text.to_owned())),
+            ValueType::Choice(words) => Err(Error::Choice {
                 accepted: words.join(", "),
                 column,
-                text: repeat(),
+                text: excerpt(),
             }),
-            Form::Flag => text.parse().map(Self::Flag).map_err(|_| Error::Flag {
+            ValueType::Flag => text.parse().map(Self::Flag).map_err(|_| Error::Flag {
                 column,
-                text: repeat(),
+                text: excerpt(),
             }),
-            Form::Hash if is_hash(text) => Ok(Self::Text(text.to_ascii_lowercase())),
-            Form::Hash => Err(Error::Hash { column }),
-            Form::Name if is_name(text) => Ok(Self::Text(text.to_owned())),
-            Form::Name => Err(Error::Name {
+            ValueType::Hash if is_hash(text) => Ok(Self::Text(text.to_ascii_lowercase())),
+            ValueType::Hash => Err(Error::Hash { column }),
+            ValueType::Name if is_name(text) => Ok(Self::Text(text.to_owned())),
+            ValueType::Name => Err(Error::Name {
                 column,
-                text: repeat(),
+                text: excerpt(),
             }),
-            Form::Number { least, most } => match text.parse() {
-                Ok(number) if (least..=most).contains(&number) => Ok(Self::Number(number)),
+            ValueType::Number { min, max } => match text.parse() {
+                Ok(number) if (min..=max).contains(&number) => Ok(Self::Number(number)),
                 _ => Err(Error::Number {
                     column,
-                    least,
-                    most,
-                    text: repeat(),
+                    min,
+                    max,
+                    text: excerpt(),
                 }),
             },
         }
@@ -143,7 +143,7 @@
 /// Returns whether `text` may name a row.
 pub fn is_name(text: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
-    (1..=LONGEST_NAME).contains(&text.len()) && text.chars().all(plain)
+    (1..=MAX_NAME_LEN).contains(&text.len()) && text.chars().all(plain)
 }
 
 fn is_hash(text: &str) -> bool {
--- a/crates/state/src/column.rs
+++ b/crates/state/src/column.rs
@@ -75,7 +75,7 @@
 
 /// Describes what a cell of a column may hold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Form {
+pub enum ValueType {
     /// Accepts an IP address and a port.
     Address,
     /// Accepts one of the given words.
@@ -89,52 +89,49 @@
     /// Accepts a whole number within bounds, both included.
     Number {
         /// Gives the least number.
-        least: u64,
+        min: u64,
         /// Gives the greatest number.
-        most: u64,
+        max: u64,
     },
 }
 
 impl Column {
     /// Returns what a cell of this column may hold.
-    pub fn form(self) -> Form {
-        const LIMIT: Form = Form::Number {
-            least: 0,
-            most: 1_000_000,
-        };
-        const PERCENT: Form = Form::Number {
-            least: 0,
-            most: 100,
+    pub fn value_type(self) -> ValueType {
+        const LIMIT: ValueType = ValueType::Number {
+            min: 0,
+            max: 1_000_000,
         };
+        const PERCENT: ValueType = ValueType::Number { min: 0, max: 100 };
         match self {
-            Self::Address => Form::Address,
-            Self::ChecksFence | Self::Idempotent => Form::Flag,
-            Self::BlockBytes => Form::Number {
-                least: 16,
-                most: 16 << 20,
+            Self::Address => ValueType::Address,
+            Self::ChecksFence | Self::Idempotent => ValueType::Flag,
+            Self::BlockBytes => ValueType::Number {
+                min: 16,
+                max: 16 << 20,
             },
             Self::CallerLimit | Self::Limit | Self::MinimumServing => LIMIT,
-            Self::Deadline => Form::Number {
-                least: 1,
-                most: 86_400_000,
+            Self::Deadline => ValueType::Number {
+                min: 1,
+                max: 86_400_000,
             },
             Self::Floor | Self::Trade => PERCENT,
-            Self::KeyHash => Form::Hash,
-            Self::LoadLimit => Form::Number { least: 1, most: 16 },
+            Self::KeyHash => ValueType::Hash,
+            Self::LoadLimit => ValueType::Number { min: 1, max: 16 },
             Self::Adapter | Self::Domain | Self::Model | Self::Service | Self::Version => {
-                Form::Name
+                ValueType::Name
             }
-            Self::Rank => Form::Choice(&["background", "urgent"]),
-            Self::Rate => Form::Number {
-                least: 0,
-                most: 1_000_000_000,
+            Self::Rank => ValueType::Choice(&["background", "urgent"]),
+            Self::Rate => ValueType::Number {
+                min: 0,
+                max: 1_000_000_000,
             },
-            Self::Role => Form::Choice(&["decode", "mixed", "prefill"]),
-            Self::Standing => Form::Choice(&["leaving", "off", "serving"]),
-            Self::Type => Form::Choice(&["engine", "kv_store", "service", "weight_store"]),
-            Self::Weight => Form::Number {
-                least: 0,
-                most: 10_000,
+            Self::Role => ValueType::Choice(&["decode", "mixed", "prefill"]),
+            Self::Standing => ValueType::Choice(&["leaving", "off", "serving"]),
+            Self::Type => ValueType::Choice(&["engine", "kv_store", "service", "weight_store"]),
+            Self::Weight => ValueType::Number {
+                min: 0,
+                max: 10_000,
             },
         }
     }
--- a/crates/state/src/history.rs
+++ b/crates/state/src/history.rs
@@ -11,7 +11,7 @@
 use crate::table;
 use crate::table::Table;
 
-const LONGEST: usize = 10_000;
+const MAX_ENTRIES: usize = 10_000;
 
 /// Records one accepted edit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct Answered {
+struct AnsweredEdit {
     edit: Edit,
     result: Result<Receipt, table::Error>,
 }
@@ -33,7 +33,7 @@
 /// Remembers the newest edits with their answers.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct History {
-    answers: BTreeMap<String, Answered>,
+    answers: BTreeMap<String, AnsweredEdit>,
     changes: VecDeque<Change>,
     keys: VecDeque<String>,
 }
@@ -52,7 +52,7 @@
     ) -> Result<Receipt, table::Error> {
         if let Some(answered) = self.answers.get(&edit.key) {
             if answered.edit != *edit {
-                return Err(table::Error::Reused {
+                return Err(table::Error::ReusedKey {
                     key: edit.key.clone(),
                 });
             }
@@ -76,18 +76,18 @@
     }
 
     fn remember(&mut self, edit: &Edit, result: &Result<Receipt, table::Error>) {
-        let answered = Answered {
+        let answered = AnsweredEdit {
             edit: edit.clone(),
             result: result.clone(),
         };
         self.answers.insert(edit.key.clone(), answered);
         self.keys.push_back(edit.key.clone());
-        if self.keys.len() > LONGEST
+        if self.keys.len() > MAX_ENTRIES
             && let Some(oldest) = self.keys.pop_front()
         {
             self.answers.remove(&oldest);
         }
-        if self.changes.len() > LONGEST {
+        if self.changes.len() > MAX_ENTRIES {
             self.changes.pop_front();
         }
     }
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -42,7 +42,7 @@
         column.map_or_else(|| "removal".to_owned(), |c| format!("cell `{c}`")),
         name.row
     )]
-    Emptied {
+    EmptyModel {
         /// Names the cell's column, unless the whole row goes.
         column: Option<Column>,
         /// Names the model.
@@ -52,7 +52,7 @@
     },
     /// Reports a column that the sheet does not have.
     #[error("sheet `{sheet}` has no column `{column}`")]
-    Foreign {
+    ForeignColumn {
         /// Names the column.
         column: Column,
         /// Names the sheet.
@@ -60,7 +60,7 @@
     },
     /// Reports a required column left empty.
     #[error("sheet `{sheet}` needs column `{column}`")]
-    Missing {
+    MissingColumn {
         /// Names the column.
         column: Column,
         /// Names the sheet.
@@ -74,13 +74,13 @@
     },
     /// Reports an edit key that named another edit before.
     #[error("edit key `{key}` named another edit before; use a new key")]
-    Reused {
+    ReusedKey {
         /// Repeats the key.
         key: String,
     },
     /// Reports a row that does not exist.
     #[error("sheet `{}` has no row `{}`", name.sheet, name.row)]
-    Unknown {
+    UnknownRow {
         /// Names the row.
         name: row::Name,
     },
@@ -100,9 +100,9 @@
     ///
     /// Returns the first thing wrong with the edit and leaves the table unchanged.
     pub fn apply(&mut self, edit: &Edit) -> Result<Receipt, Error> {
-        self.compare(edit)?;
-        let row = self.changed(edit)?;
-        self.keep_serving(edit, row.as_ref())?;
+        self.check_revision(edit)?;
+        let row = self.changed_cells(edit)?;
+        self.check_model_still_served(edit, row.as_ref())?;
         self.revision += 1;
         match row {
             Some(cells) => {
@@ -143,7 +143,7 @@
             .map(|(name, row)| (name.row.as_str(), row))
     }
 
-    fn changed(&self, edit: &Edit) -> Result<Option<BTreeMap<Column, Cell>>, Error> {
+    fn changed_cells(&self, edit: &Edit) -> Result<Option<BTreeMap<Column, Cell>>, Error> {
         let sheet = edit.name.sheet;
         let mut cells = BTreeMap::new();
         match &edit.action {
@@ -164,7 +164,7 @@
             }
         }
         match sheet.required().iter().find(|c| !cells.contains_key(c)) {
-            Some(column) => Err(Error::Missing {
+            Some(column) => Err(Error::MissingColumn {
                 column: *column,
                 sheet,
             }),
@@ -172,7 +172,7 @@
         }
     }
 
-    fn compare(&self, edit: &Edit) -> Result<(), Error> {
+    fn check_revision(&self, edit: &Edit) -> Result<(), Error> {
         let name = edit.name.clone();
         if !cell::is_name(&name.row) {
             return Err(Error::Name { text: name.row });
@@ -180,7 +180,7 @@
         let found = self.rows.get(&name).map(|row| row.revision);
         let adds = matches!(edit.action, Action::Add(_));
         if found.is_none() && !adds {
-            return Err(Error::Unknown { name });
+            return Err(Error::UnknownRow { name });
         }
         let found = found.unwrap_or(0);
         if found != edit.if_revision {
@@ -194,7 +194,7 @@
         Ok(())
     }
 
-    fn keep_serving(
+    fn check_model_still_served(
         &self,
         edit: &Edit,
         cells: Option<&BTreeMap<Column, Cell>>,
@@ -202,27 +202,27 @@
         let Some(before) = self.rows.get(&edit.name) else {
             return Ok(());
         };
-        let Some(model) = served(edit.name.sheet, &before.cells) else {
+        let Some(model) = served_model(edit.name.sheet, &before.cells) else {
             return Ok(());
         };
-        let still = cells.and_then(|cells| served(edit.name.sheet, cells)) == Some(model);
+        let still = cells.and_then(|cells| served_model(edit.name.sheet, cells)) == Some(model);
         if still || self.get(Sheet::Models, model).is_none() {
             return Ok(());
         }
         let others = self.rows.iter().filter(|(name, _)| **name != edit.name);
-        let mut others = others.filter_map(|(name, row)| served(name.sheet, &row.cells));
+        let mut others = others.filter_map(|(name, row)| served_model(name.sheet, &row.cells));
         if others.any(|other| other == model) {
             return Ok(());
         }
-        Err(Error::Emptied {
-            column: cells.and_then(|cells| culprit(&before.cells, cells)),
+        Err(Error::EmptyModel {
+            column: cells.and_then(|cells| changed_serving_column(&before.cells, cells)),
             model: model.to_owned(),
             name: edit.name.clone(),
         })
     }
 }
 
-const SERVING: [Column; 5] = [
+const SERVING_COLUMNS: [Column; 5] = [
     Column::Limit,
     Column::Model,
     Column::Standing,
@@ -230,12 +230,15 @@
     Column::Weight,
 ];
 
-fn culprit(before: &BTreeMap<Column, Cell>, after: &BTreeMap<Column, Cell>) -> Option<Column> {
+fn changed_serving_column(
+    before: &BTreeMap<Column, Cell>,
+    after: &BTreeMap<Column, Cell>,
+) -> Option<Column> {
     let changed = |column: &&Column| before.get(column) != after.get(column);
-    SERVING.iter().find(changed).copied()
+    SERVING_COLUMNS.iter().find(changed).copied()
 }
 
-fn served(sheet: Sheet, cells: &BTreeMap<Column, Cell>) -> Option<&str> {
+fn served_model(sheet: Sheet, cells: &BTreeMap<Column, Cell>) -> Option<&str> {
     let word = |column| match cells.get(&column) {
         Some(Cell::Text(text)) => Some(text.as_str()),
         _ => None,
@@ -249,7 +252,7 @@
 
 fn parse(sheet: Sheet, column: Column, text: &str) -> Result<Cell, Error> {
     if !sheet.columns().contains(&column) {
-        return Err(Error::Foreign { column, sheet });
+        return Err(Error::ForeignColumn { column, sheet });
     }
     Ok(Cell::parse(column, text)?)
 }
--- a/crates/state/tests/decoders.rs
+++ b/crates/state/tests/decoders.rs
@@ -12,7 +12,7 @@
 
 use state::cell::Cell;
 use state::column::Column;
-use state::column::Form;
+use state::column::ValueType;
 use state::edit::Action;
 use state::edit::Edit;
 use state::row;
@@ -53,9 +53,9 @@
 
     #[test]
     fn a_number_out_of_bounds_is_no_cell(column in column(), number in any::<u64>()) {
-        if let Form::Number { least, most } = column.form() {
+        if let ValueType::Number { min, max } = column.value_type() {
             let read = Cell::parse(column, &number.to_string());
-            prop_assert_eq!(read.is_ok(), (least..=most).contains(&number));
+            prop_assert_eq!(read.is_ok(), (min..=max).contains(&number));
         }
     }
 
--- a/crates/state/tests/history.rs
+++ b/crates/state/tests/history.rs
@@ -95,7 +95,7 @@
     other.author = "ben".to_owned();
     assert!(first.is_err());
     let key = other.key.clone();
-    assert_eq!(book.apply(&other), Err(Error::Reused { key }));
+    assert_eq!(book.apply(&other), Err(Error::ReusedKey { key }));
 }
 
 #[test]
@@ -149,7 +149,7 @@
         };
         assert_eq!(
             book.set("a", column, text),
-            Err(Error::Emptied {
+            Err(Error::EmptyModel {
                 column: Some(column),
                 model: "m".to_owned(),
                 name
