--- a/crates/coordination/src/raft.rs
+++ b/crates/coordination/src/raft.rs
@@ -1,8 +1,8 @@
-//! One member of the replicated log, as a step function.
+//! One member of a Raft group, as a state machine without I/O.
 //!
-//! [`Raft::step`] takes the time and an event and returns effects. A message that promises
-//! anything about the disk is held back until [`Event::Persisted`] confirms the records that the
-//! promise rests on, so a driver cannot send it too early.
+//! [`Raft::step`] takes the time and an event and returns effects. A message that states what is
+//! on disk, such as a granted vote or an accepted entry, is held back until [`Event::Persisted`]
+//! confirms the records that it depends on, so that a driver cannot send it too early.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,83 +37,85 @@
 use crate::raft_settings::Settings;
 use state::time::Instant;
 
-/// Tells a member what happened.
+/// Input of [`Raft::step`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Founds a group whose only voter is this member.
+    /// Creates a group whose only voter is this member; ignored unless the disk is empty.
     Bootstrap(Member),
-    /// Asks a leader for one change of the members.
+    /// Requests one membership change; only the leader accepts it.
     Change(Token, Change),
-    /// Offers the state machine as of `index`, so that the log before it can go.
+    /// Offers a snapshot of the state machine, so that the log up to `index` can be dropped.
     Compact {
-        /// Holds the encoded state machine.
+        /// The encoded state machine.
         data: Arc<[u8]>,
-        /// Gives the index of the last entry that it has applied.
+        /// Index of the last entry that the state machine has applied.
         index: u64,
     },
-    /// Brings a message.
+    /// Delivers a message of another member.
     Message(Envelope),
-    /// Confirms that all records up to this sequence number are on the disk.
+    /// Confirms that all writes up to this sequence number are synced to disk.
     Persisted(u64),
-    /// Asks a leader to replicate commands.
+    /// Proposes commands for replication; only the leader accepts them.
     Propose(Vec<(Token, Arc<[u8]>)>),
-    /// Asks a leader for an index that covers everything acknowledged so far.
+    /// Requests a linearizable read: the leader answers with the index to apply first.
     Read(Token),
-    /// Lets time pass.
+    /// Checks the timers; due at [`Raft::next_tick`].
     Tick,
 }
 
-/// Tells the driver what to do, in order.
+/// Output of [`Raft::step`], which the driver carries out in order.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Tells at which place a proposal stands; it is committed once that place is applied.
+    /// The log position of a proposal, which is committed once the entry there is applied with the
+    /// same term.
     Accepted(Token, Position),
-    /// Applies committed entries.
+    /// Applies committed entries to the state machine.
     Apply(Vec<Entry>),
     /// Writes records and syncs them, then confirms with [`Event::Persisted`].
     Persist {
-        /// Holds the records in order.
+        /// The records, in order.
         records: Vec<Record>,
-        /// Numbers this write.
+        /// Sequence number of this write.
         sequence: u64,
     },
-    /// Allows a read once the entry at this index is applied.
+    /// Allows a read as soon as the entry at this index is applied.
     Read(Token, u64),
-    /// Refuses what a token stands for; nothing of it was replicated.
+    /// Refuses a request; nothing of it was replicated.
     Refused(Token, Refusal),
-    /// Replaces the state machine.
+    /// Replaces the state machine by a snapshot.
     Restore(Arc<Snapshot>),
-    /// Sends a message, which may get lost.
+    /// Sends a message; it may be lost.
     Send(Envelope),
 }
 
-/// Tells why a member refuses.
+/// Reason why a member refuses a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
 pub enum Refusal {
-    /// Reports more uncommitted entries than the backlog allows.
-    #[error("too many entries wait for the voters")]
+    /// The log has as many uncommitted entries as the settings allow.
+    #[error("too many uncommitted entries")]
     Backlog,
-    /// Reports a change of members that does not fit.
+    /// The membership change cannot be applied.
     #[error(transparent)]
     Change(#[from] quorum::Error),
-    /// Reports that this member does not lead; the leader is named when known.
+    /// This member is not the leader; carries the leader when it is known.
     #[error("this voter does not lead")]
     NotLeader(Option<MemberId>),
 }
 
-/// Tells what a member is doing.
+/// Role of a member in the current term.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Follows the leader, if it knows one.
+    /// Follows a leader, if one is known.
     Follower(Option<MemberId>),
-    /// Leads.
+    /// Replicates entries and commits them.
     Leader,
-    /// Asks whether it would get votes.
+    /// Asks whether it would win an election before it starts one.
     PreCandidate,
 }
 
+/// Role of a member with the data of that role; the sets hold the votes granted so far.
 #[derive(Debug)]
 pub(crate) enum State {
     Candidate(BTreeSet<MemberId>),
@@ -122,41 +124,50 @@
     PreCandidate(BTreeSet<MemberId>),
 }
 
+/// The part of a snapshot that has arrived from the leader.
 #[derive(Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     pub(crate) data: Vec<u8>,
     pub(crate) meta: SnapshotMeta,
 }
 
-/// Holds one member of the replicated log.
+/// One member of a Raft group.
 #[derive(Debug)]
 pub struct Raft {
-    pub(crate) applied: u64,
+    pub(crate) applied_index: u64,
     pub(crate) commit_index: u64,
     pub(crate) effects: Vec<Effect>,
     pub(crate) election_due: Instant,
     pub(crate) hard_state: HardState,
-    pub(crate) heard: Instant,
-    held: VecDeque<(u64, Envelope)>,
+    pub(crate) last_leader_contact: Instant,
+    /// Messages with the sequence number of the write that must be synced before they are sent.
+    awaiting_sync: VecDeque<(u64, Envelope)>,
     pub(crate) identity: MemberId,
-    pub(crate) incoming: Option<Incoming>,
+    pub(crate) incoming: Option<IncomingSnapshot>,
     pub(crate) log: Log,
     pub(crate) now: Instant,
+    /// Messages of the current step that must wait for its write.
     outbox: Vec<Envelope>,
+    /// Sequence number of the newest write that is synced.
     persisted: u64,
+    /// Records of the current step.
     pub(crate) records: Vec<Record>,
     rng: ChaCha8Rng,
+    /// Sequence number of the newest write.
     pub(crate) sequence: u64,
     pub(crate) settings: Settings,
     pub(crate) state: State,
-    pub(crate) unsynced: BTreeMap<u64, u64>,
-    pub(crate) voted: u64,
+    /// Index of the last log entry as of each write that is not yet synced.
+    pub(crate) unsynced_writes: BTreeMap<u64, u64>,
+    /// Sequence number of the write that holds this member's vote for itself.
+    pub(crate) vote_sequence: u64,
 }
 
 impl Raft {
-    /// Returns the member that owns a disk, as of its last start.
+    /// Returns a member that resumes from what its disk holds.
     ///
-    /// It grants no vote for one election timeout, since it may have promised a leader not to.
+    /// It grants no vote for one election timeout, because a leader may still hold a lease that
+    /// relies on this member.
     pub fn new(
         identity: MemberId,
         settings: Settings,
@@ -166,13 +177,13 @@
     ) -> Self {
         let start = recovered.snapshot.meta.position.index;
         let mut raft = Self {
-            applied: start,
+            applied_index: start,
             commit_index: start,
             effects: Vec::new(),
             election_due: now,
             hard_state: recovered.hard_state,
-            heard: now,
-            held: VecDeque::new(),
+            last_leader_contact: now,
+            awaiting_sync: VecDeque::new(),
             identity,
             incoming: None,
             log: Log::new(recovered.snapshot, recovered.entries),
@@ -184,19 +195,19 @@
             sequence: 0,
             settings,
             state: State::Follower(None),
-            unsynced: BTreeMap::new(),
-            voted: 0,
+            unsynced_writes: BTreeMap::new(),
+            vote_sequence: 0,
         };
-        raft.defer_election();
-        raft.hurry_alone();
+        raft.reset_election_timer();
+        raft.skip_election_timeout_if_sole_voter();
         raft
     }
 
-    /// Takes in one event at `now` and returns what to do about it.
+    /// Handles one event at `now` and returns the effects to carry out.
     ///
     /// # Panics
     ///
-    /// Panics when another member contradicts an entry that is committed here.
+    /// Panics when another member sends an entry that contradicts a committed one.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
@@ -204,7 +215,7 @@
             Event::Change(token, change) => self.change(token, &change),
             Event::Compact { data, index } => self.compact(index, data),
             Event::Message(envelope) => self.receive(envelope),
-            Event::Persisted(sequence) => self.synced(sequence),
+            Event::Persisted(sequence) => self.on_persisted(sequence),
             Event::Propose(commands) => self.propose(commands),
             Event::Read(token) => self.read(token),
             Event::Tick => self.tick(),
@@ -212,17 +223,17 @@
         self.flush()
     }
 
-    /// Returns the index of the last committed entry known here.
+    /// Returns the index of the last entry known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// Returns the members.
+    /// Returns the newest membership, committed or not.
     pub fn config(&self) -> &Config {
         self.log.config()
     }
 
-    /// Returns when to tick next.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Instant {
         match &self.state {
             State::Leader(leader) => leader.heartbeat_due,
@@ -230,17 +241,17 @@
         }
     }
 
-    /// Returns this member's identity.
+    /// Returns the id of this member.
     pub fn identity(&self) -> MemberId {
         self.identity
     }
 
-    /// Returns the place of the last entry.
+    /// Returns the position of the last log entry.
     pub fn last_position(&self) -> Position {
         self.log.last_position()
     }
 
-    /// Returns the leader, when it is known.
+    /// Returns the leader of the current term, when it is known.
     pub fn leader(&self) -> Option<MemberId> {
         match &self.state {
             State::Candidate(_) | State::PreCandidate(_) => None,
@@ -249,7 +260,7 @@
         }
     }
 
-    /// Returns what this member is doing.
+    /// Returns the role of this member.
     pub fn role(&self) -> Role {
         match &self.state {
             State::Candidate(_) => Role::Candidate,
@@ -259,7 +270,7 @@
         }
     }
 
-    /// Returns the index up to which each other member's log is known to match, on the leader.
+    /// Returns, on the leader, the index up to which each other member's log is known to match.
     pub fn matched(&self) -> Vec<(MemberId, u64)> {
         match &self.state {
             State::Leader(leader) => leader.all_matched(),
@@ -272,31 +283,33 @@
         self.log.snapshot()
     }
 
-    /// Returns the newest term seen.
+    /// Returns the newest term that this member has seen.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
+    /// Hands the entries that became committed to the state machine.
     pub(crate) fn apply(&mut self) {
-        if self.commit_index > self.applied {
-            let entries = self.log.range(self.applied + 1, self.commit_index);
-            self.applied = self.commit_index;
+        if self.commit_index > self.applied_index {
+            let entries = self.log.range(self.applied_index + 1, self.commit_index);
+            self.applied_index = self.commit_index;
             self.effects.push(Effect::Apply(entries));
         }
     }
 
-    pub(crate) fn defer_election(&mut self) {
-        let spread = self.rng.random_range(0..=self.settings.election_jitter_ms);
-        self.election_due = self.now + self.settings.election_timeout_ms + spread;
+    /// Restarts the election timeout with a new random jitter.
+    pub(crate) fn reset_election_timer(&mut self) {
+        let jitter = self.rng.random_range(0..=self.settings.election_jitter_ms);
+        self.election_due = self.now + self.settings.election_timeout_ms + jitter;
     }
 
-    /// Sends a message that promises nothing about the disk.
+    /// Sends a message that does not depend on a write.
     pub(crate) fn send(&mut self, to: MemberId, term: u64, body: Body) {
         let envelope = self.envelope(to, term, body);
         self.effects.push(Effect::Send(envelope));
     }
 
-    /// Sends a message once all records so far are on the disk.
+    /// Sends a message once all records so far are synced to disk.
     pub(crate) fn send_synced(&mut self, to: MemberId, term: u64, body: Body) {
         let envelope = self.envelope(to, term, body);
         self.outbox.push(envelope);
@@ -325,24 +338,24 @@
             payload: Payload::Config(config),
             position,
         };
-        self.set_hard(HardState {
+        self.set_hard_state(HardState {
             term: 1,
             vote: None,
         });
         self.log.push(entry.clone());
         self.records.push(Record::Entries(vec![entry]));
-        self.hurry_alone();
+        self.skip_election_timeout_if_sole_voter();
     }
 
-    /// Lets the only voter stand for election at once, since nobody else can lead.
-    fn hurry_alone(&mut self) {
+    /// Makes the election of the only voter due at once, because no other member can lead.
+    fn skip_election_timeout_if_sole_voter(&mut self) {
         if self.log.config().voters().eq([self.identity]) {
             self.election_due = self.now;
         }
     }
 
     fn compact(&mut self, index: u64, data: Arc<[u8]>) {
-        if index > self.applied {
+        if index > self.applied_index {
             return;
         }
         if let Some(snapshot) = self.log.compact(index, data) {
@@ -360,11 +373,12 @@
         }
     }
 
+    /// Returns the effects of a step, with its write first and the messages that may go now last.
     fn flush(&mut self) -> Vec<Effect> {
         let mut effects = std::mem::take(&mut self.effects);
         if !self.records.is_empty() {
             self.sequence += 1;
-            self.unsynced
+            self.unsynced_writes
                 .insert(self.sequence, self.log.last_position().index);
             let persist = Effect::Persist {
                 records: std::mem::take(&mut self.records),
@@ -373,36 +387,36 @@
             effects.insert(0, persist);
         }
         for envelope in std::mem::take(&mut self.outbox) {
-            self.held.push_back((self.sequence, envelope));
+            self.awaiting_sync.push_back((self.sequence, envelope));
         }
         while self
-            .held
+            .awaiting_sync
             .front()
             .is_some_and(|(sequence, _)| *sequence <= self.persisted)
         {
-            let held = self.held.pop_front();
-            effects.extend(held.map(|(_, envelope)| Effect::Send(envelope)));
+            let ready = self.awaiting_sync.pop_front();
+            effects.extend(ready.map(|(_, envelope)| Effect::Send(envelope)));
         }
         effects
     }
 
-    pub(crate) fn set_hard(&mut self, hard_state: HardState) {
+    pub(crate) fn set_hard_state(&mut self, hard_state: HardState) {
         if hard_state != self.hard_state {
             self.hard_state = hard_state;
             self.records.push(Record::HardState(hard_state));
         }
     }
 
-    fn synced(&mut self, sequence: u64) {
+    fn on_persisted(&mut self, sequence: u64) {
         self.persisted = self.persisted.max(sequence);
-        let later = self.unsynced.split_off(&(sequence + 1));
-        let synced = std::mem::replace(&mut self.unsynced, later);
+        let later = self.unsynced_writes.split_off(&(sequence + 1));
+        let synced = std::mem::replace(&mut self.unsynced_writes, later);
         match &mut self.state {
-            State::Candidate(_) if sequence >= self.voted => self.count(self.identity),
+            State::Candidate(_) if sequence >= self.vote_sequence => self.count_vote(self.identity),
             State::Leader(leader) => {
                 let last = synced.into_values().max().unwrap_or(0);
-                leader.durable = leader.durable.max(last);
-                self.advance();
+                leader.synced_index = leader.synced_index.max(last);
+                self.advance_commit();
             }
             State::Candidate(_) | State::Follower(_) | State::PreCandidate(_) => {}
         }
@@ -410,11 +424,11 @@
 
     fn tick(&mut self) {
         match &self.state {
-            State::Leader(_) => self.beat(),
+            State::Leader(_) => self.tick_leader(),
             State::Candidate(_) | State::Follower(_) | State::PreCandidate(_)
                 if self.now >= self.election_due =>
             {
-                self.precampaign();
+                self.start_pre_vote();
             }
             State::Candidate(_) | State::Follower(_) | State::PreCandidate(_) => {}
         }
--- a/crates/coordination/src/raft_election.rs
+++ b/crates/coordination/src/raft_election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes and what a member promises by them.
+//! Leader election: pre-votes, votes and the lease that a vote must respect.
 
 use std::collections::BTreeSet;
 
@@ -11,58 +11,61 @@
 use crate::raft_message::Body;
 
 impl Raft {
-    /// Asks whether the others would vote for this member.
-    pub(crate) fn precampaign(&mut self) {
-        self.defer_election();
+    /// Asks the other voters whether they would vote for this member.
+    ///
+    /// A member that cannot win keeps its term, so it does not depose a working leader.
+    pub(crate) fn start_pre_vote(&mut self) {
+        self.reset_election_timer();
         if !self.config().is_voter(self.identity) {
             return;
         }
-        self.fail_reads();
+        self.refuse_reads();
         self.state = State::PreCandidate(BTreeSet::new());
         let last = self.log.last_position();
         let term = self.hard_state.term + 1;
         for peer in self.other_voters() {
             self.send(peer, term, Body::PreVote { last });
         }
-        self.count(self.identity);
+        self.count_vote(self.identity);
     }
 
-    /// Counts a vote or a pre-vote of `voter`.
-    pub(crate) fn count(&mut self, voter: MemberId) {
+    /// Counts a granted vote or pre-vote, and moves on once a majority has granted it.
+    pub(crate) fn count_vote(&mut self, voter: MemberId) {
         let config = self.log.config();
         match &mut self.state {
             State::Candidate(votes) => {
                 votes.insert(voter);
                 if config.has_majority(|id| votes.contains(&id)) {
-                    self.lead();
+                    self.become_leader();
                 }
             }
             State::PreCandidate(votes) => {
                 votes.insert(voter);
                 if config.has_majority(|id| votes.contains(&id)) {
-                    self.campaign();
+                    self.start_election();
                 }
             }
             State::Follower(_) | State::Leader(_) => {}
         }
     }
 
-    /// Follows `leader`, or nobody yet, in `term`.
-    pub(crate) fn follow(&mut self, term: u64, leader: Option<MemberId>) {
-        self.fail_reads();
+    /// Becomes a follower in `term`, of `leader` when it is known.
+    pub(crate) fn become_follower(&mut self, term: u64, leader: Option<MemberId>) {
+        self.refuse_reads();
         if term > self.hard_state.term {
-            self.set_hard(HardState { term, vote: None });
+            self.set_hard_state(HardState { term, vote: None });
         }
-        let stays = matches!(self.state, State::Follower(_));
+        let was_follower = matches!(self.state, State::Follower(_));
         self.state = State::Follower(leader);
-        if !stays {
-            self.defer_election();
+        if !was_follower {
+            self.reset_election_timer();
         }
     }
 
     pub(crate) fn on_pre_vote(&mut self, from: MemberId, term: u64, last: Position) {
-        let granted =
-            term > self.hard_state.term && last >= self.log.last_position() && !self.promised();
+        let granted = term > self.hard_state.term
+            && last >= self.log.last_position()
+            && !self.withholds_vote();
         let reply = if granted { term } else { self.hard_state.term };
         self.send(from, reply, Body::PreVoteReply { granted });
     }
@@ -70,7 +73,7 @@
     pub(crate) fn on_pre_vote_reply(&mut self, from: MemberId, term: u64, granted: bool) {
         let expected = term == self.hard_state.term + 1;
         if granted && expected && matches!(self.state, State::PreCandidate(_)) {
-            self.count(from);
+            self.count_vote(from);
         }
     }
 
@@ -79,44 +82,45 @@
             let granted = false;
             return self.send_synced(from, self.hard_state.term, Body::VoteReply { granted });
         }
-        let again = term == self.hard_state.term && self.hard_state.vote == Some(from);
-        if self.promised() && !again {
+        let repeated = term == self.hard_state.term && self.hard_state.vote == Some(from);
+        if self.withholds_vote() && !repeated {
             return;
         }
         if term > self.hard_state.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
         }
-        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
-        let granted =
-            free && last >= self.log.last_position() && matches!(self.state, State::Follower(_));
+        let can_vote = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = can_vote
+            && last >= self.log.last_position()
+            && matches!(self.state, State::Follower(_));
         if granted {
             let vote = Some(from);
-            self.set_hard(HardState { term, vote });
-            self.defer_election();
+            self.set_hard_state(HardState { term, vote });
+            self.reset_election_timer();
         }
         self.send_synced(from, term, Body::VoteReply { granted });
     }
 
     pub(crate) fn on_vote_reply(&mut self, from: MemberId, term: u64, granted: bool) {
         if granted && term == self.hard_state.term && matches!(self.state, State::Candidate(_)) {
-            self.count(from);
+            self.count_vote(from);
         }
     }
 
-    /// Returns the other members that vote.
+    /// Returns the voters other than this member.
     pub(crate) fn other_voters(&self) -> Vec<MemberId> {
         let voters = self.log.config().voters();
         voters.filter(|id| *id != self.identity).collect()
     }
 
-    fn campaign(&mut self) {
-        self.defer_election();
+    fn start_election(&mut self) {
+        self.reset_election_timer();
         let hard_state = HardState {
             term: self.hard_state.term + 1,
             vote: Some(self.identity),
         };
-        self.set_hard(hard_state);
-        self.voted = self.sequence + 1;
+        self.set_hard_state(hard_state);
+        self.vote_sequence = self.sequence + 1;
         self.state = State::Candidate(BTreeSet::new());
         let last = self.log.last_position();
         for peer in self.other_voters() {
@@ -124,7 +128,7 @@
         }
     }
 
-    fn lead(&mut self) {
+    fn become_leader(&mut self) {
         let last = self.log.last_position();
         let mut leader = LeaderState::new(self.now, self.log.last_time_ms(), last.index);
         leader.track(self.log.config(), self.identity, last.index + 1);
@@ -132,12 +136,12 @@
         self.begin_term();
     }
 
-    /// Returns whether a leader may count on this member not to vote yet.
-    fn promised(&self) -> bool {
+    /// Returns whether this member must not vote yet, because a leader's lease relies on it.
+    fn withholds_vote(&self) -> bool {
         match &self.state {
-            State::Leader(leader) => leader.lease(&self.settings) > self.now,
+            State::Leader(leader) => leader.lease_end(&self.settings) > self.now,
             State::Candidate(_) | State::Follower(_) | State::PreCandidate(_) => {
-                self.now.since(self.heard) < self.settings.election_timeout_ms
+                self.now.since(self.last_leader_contact) < self.settings.election_timeout_ms
             }
         }
     }
--- a/crates/coordination/src/raft_entry.rs
+++ b/crates/coordination/src/raft_entry.rs
@@ -1,4 +1,4 @@
-//! What a member of the replicated log keeps on its disk.
+//! The data that a member of a Raft group keeps on disk: log entries, hard state and snapshots.
 
 use std::sync::Arc;
 
@@ -8,107 +8,109 @@
 use crate::quorum::Config;
 use crate::quorum::MemberId;
 
-/// Names a place in the log.
+/// Position of an entry in the log; positions order by term, then by index.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Position {
-    /// Gives the term, which compares first.
+    /// Term of the leader that created the entry.
     pub term: u64,
-    /// Gives the index.
+    /// Index of the entry in the log, counted from 1.
     pub index: u64,
 }
 
-/// Holds what an entry says.
+/// Content of a log entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Payload {
-    /// Holds a command of the state machine.
+    /// An encoded command for the state machine.
     Command(Arc<[u8]>),
-    /// Holds the members from this entry on.
+    /// The membership from this entry on.
     Config(Config),
-    /// Marks the start of a term.
+    /// An entry without a command, with which a leader starts its term.
     NoOp,
 }
 
-/// Holds one entry of the log.
+/// One entry of the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
-    /// Gives the log's time at which the leader took the entry, in milliseconds.
+    /// Log time at which the leader appended the entry, in milliseconds.
+    ///
+    /// Log time is the clock of the replicated log: leaders stamp it, and it never goes back.
     pub log_time_ms: u64,
-    /// Holds what it says.
+    /// Content of the entry.
     pub payload: Payload,
-    /// Names its place.
+    /// Position of the entry in the log.
     pub position: Position,
 }
 
 impl Entry {
-    /// Returns the approximate size in bytes.
+    /// Returns the approximate size of the entry, in bytes.
     pub fn size(&self) -> usize {
-        const OVERHEAD: usize = 32;
-        const MEMBER: usize = 64;
+        const OVERHEAD_BYTES: usize = 32;
+        const MEMBER_BYTES: usize = 64;
         match &self.payload {
-            Payload::Command(bytes) => OVERHEAD + bytes.len(),
-            Payload::Config(config) => OVERHEAD + MEMBER * config.members.len(),
-            Payload::NoOp => OVERHEAD,
+            Payload::Command(bytes) => OVERHEAD_BYTES + bytes.len(),
+            Payload::Config(config) => OVERHEAD_BYTES + MEMBER_BYTES * config.members.len(),
+            Payload::NoOp => OVERHEAD_BYTES,
         }
     }
 }
 
-/// Holds the promises that must outlive a restart.
+/// Term and vote, which must be on disk before a message that depends on them is sent.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HardState {
-    /// Gives the newest term seen.
+    /// Newest term that the member has seen.
     pub term: u64,
-    /// Names the candidate voted for in that term.
+    /// Candidate that the member voted for in that term.
     pub vote: Option<MemberId>,
 }
 
-/// Describes a snapshot without its data.
+/// Description of a snapshot, without its data.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SnapshotMeta {
-    /// Gives the log's time of the last entry that it covers.
+    /// Log time of the last entry that the snapshot covers, in milliseconds.
     pub log_time_ms: u64,
-    /// Holds the members as of that entry.
+    /// Membership as of that entry.
     pub config: Config,
-    /// Names the last entry that it covers.
+    /// Position of the last entry that the snapshot covers.
     pub position: Position,
 }
 
-/// Holds the state machine as of one entry.
+/// The state machine as of one log entry.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// Holds the encoded state machine.
+    /// The encoded state machine.
     pub data: Arc<[u8]>,
-    /// Describes it.
+    /// Position, membership and log time as of that entry.
     pub meta: SnapshotMeta,
 }
 
-/// Describes one change of the disk; records are written in the order they are given in.
+/// One change of what is on disk; records are written in the order in which they are given.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Record {
-    /// Replaces the entries up to the snapshot's, and keeps those after it.
+    /// Replaces the entries that the snapshot covers, and keeps those after it.
     Compact(Arc<Snapshot>),
-    /// Appends entries, after removing those at and after the first one's index.
+    /// Appends entries, after removing all entries from the index of the first one on.
     Entries(Vec<Entry>),
-    /// Replaces the promises.
+    /// Replaces the hard state.
     HardState(HardState),
     /// Replaces the whole log by a snapshot received from the leader.
     Install(Arc<Snapshot>),
 }
 
-/// Holds what a disk gave back after a start.
+/// What a member reads back from disk at start.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recovered {
-    /// Holds the entries after the snapshot, in order and without a gap.
+    /// Entries after the snapshot, in order and without a gap.
     pub entries: Vec<Entry>,
-    /// Holds the promises.
+    /// Newest term and vote.
     pub hard_state: HardState,
-    /// Holds the newest snapshot.
+    /// Newest snapshot.
     pub snapshot: Arc<Snapshot>,
 }
 
 impl Recovered {
-    /// Brings in one record, as a start does for each that it reads.
+    /// Applies one record; a start replays all records that it reads from disk.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Compact(snapshot) => {
--- a/crates/coordination/src/raft_follower.rs
+++ b/crates/coordination/src/raft_follower.rs
@@ -1,10 +1,10 @@
-//! What a member does with messages: entries, snapshots and the answers to its own.
+//! Handling of received messages: dispatch by kind, and entries and snapshots of a leader.
 
 use std::sync::Arc;
 
 use crate::quorum::MemberId;
 use crate::raft::Effect;
-use crate::raft::Incoming;
+use crate::raft::IncomingSnapshot;
 use crate::raft::Raft;
 use crate::raft::State;
 use crate::raft_entry::Entry;
@@ -16,7 +16,7 @@
 use crate::raft_message::Envelope;
 
 impl Raft {
-    /// Takes in a message, unless it is for another identity or from another group.
+    /// Handles a message, unless it is for another member or from another group.
     pub(crate) fn receive(&mut self, envelope: Envelope) {
         let Envelope {
             body,
@@ -26,9 +26,9 @@
             to,
         } = envelope;
         let own = self.log.config().group;
-        let none = MemberId::default();
-        let foreign = own != none && group != none && group != own;
-        if to != self.identity || foreign {
+        let unset = MemberId::default();
+        let other_group = own != unset && group != unset && group != own;
+        if to != self.identity || other_group {
             return;
         }
         match body {
@@ -37,7 +37,7 @@
                 return self.on_pre_vote_reply(from, term, granted);
             }
             Body::Vote { last } => return self.on_vote(from, term, last),
-            _ if term > self.hard_state.term => self.follow(term, None),
+            _ if term > self.hard_state.term => self.become_follower(term, None),
             _ => {}
         }
         let current = term == self.hard_state.term;
@@ -52,8 +52,8 @@
                 previous,
                 round,
             } => {
-                self.hear(from);
-                self.append(from, round, previous, entries, commit);
+                self.record_leader_contact(from);
+                self.on_append(from, round, previous, entries, commit);
             }
             Body::InstallSnapshot {
                 data,
@@ -62,15 +62,15 @@
                 round,
                 total,
             } => {
-                self.hear(from);
-                self.take_piece(from, round, meta, offset, &data, total);
+                self.record_leader_contact(from);
+                self.on_install_snapshot(from, round, meta, offset, &data, total);
             }
             Body::Accepted { matched, round } if current => self.on_accepted(from, round, matched),
             Body::ReceivedChunk {
                 index,
                 offset,
                 round,
-            } if current => self.on_received(from, round, index, offset),
+            } if current => self.on_received_chunk(from, round, index, offset),
             Body::Rejected { hint, round } if current => self.on_rejected(from, round, hint),
             Body::VoteReply { granted } => self.on_vote_reply(from, term, granted),
             Body::Accepted { .. }
@@ -82,7 +82,8 @@
         }
     }
 
-    fn append(
+    /// Appends the entries that follow `previous`, or rejects them if the logs differ there.
+    fn on_append(
         &mut self,
         from: MemberId,
         round: u64,
@@ -90,32 +91,34 @@
         entries: Vec<Entry>,
         commit: u64,
     ) {
-        let base = self.log.snapshot().meta.position.index;
-        let known =
-            previous.index < base || self.log.term_at(previous.index) == Some(previous.term);
-        if !known {
-            let hint = self.hint(previous);
+        let snapshot_index = self.log.snapshot().meta.position.index;
+        let matches = previous.index < snapshot_index
+            || self.log.term_at(previous.index) == Some(previous.term);
+        if !matches {
+            let hint = self.rejection_hint(previous);
             let term = self.hard_state.term;
             return self.send_synced(from, term, Body::Rejected { hint, round });
         }
         let matched = previous.index + entries.len() as u64;
-        self.extend(entries);
-        self.commit_to(commit.min(matched));
-        let matched = matched.max(base.min(self.commit_index));
+        self.append_new_entries(entries);
+        self.commit_up_to(commit.min(matched));
+        let matched = matched.max(snapshot_index.min(self.commit_index));
         let accepted = Body::Accepted { matched, round };
         self.send_synced(from, self.hard_state.term, accepted);
     }
 
-    fn commit_to(&mut self, index: u64) {
+    fn commit_up_to(&mut self, index: u64) {
         self.commit_index = self.commit_index.max(index);
         self.apply();
     }
 
-    fn extend(&mut self, entries: Vec<Entry>) {
-        let base = self.log.snapshot().meta.position.index;
+    /// Replaces the log from the first entry on that it does not hold yet.
+    fn append_new_entries(&mut self, entries: Vec<Entry>) {
+        let snapshot_index = self.log.snapshot().meta.position.index;
         let new = entries.into_iter().skip_while(|entry| {
             let position = entry.position;
-            position.index <= base || self.log.term_at(position.index) == Some(position.term)
+            position.index <= snapshot_index
+                || self.log.term_at(position.index) == Some(position.term)
         });
         let new: Vec<Entry> = new.collect();
         let Some(first) = new.first().map(|entry| entry.position.index) else {
@@ -123,23 +126,26 @@
         };
         assert!(
             first > self.commit_index,
-            "committed entry {first} contradicted"
+            "received entry {first} contradicts a committed one"
         );
         self.log.truncate(first);
         new.iter().for_each(|entry| self.log.push(entry.clone()));
         self.records.push(Record::Entries(new));
     }
 
-    fn hear(&mut self, leader: MemberId) {
-        let known = matches!(self.state, State::Follower(Some(known)) if known == leader);
-        if !known {
-            self.follow(self.hard_state.term, Some(leader));
+    /// Follows `leader` and restarts the election timeout.
+    fn record_leader_contact(&mut self, leader: MemberId) {
+        let following = matches!(self.state, State::Follower(Some(known)) if known == leader);
+        if !following {
+            self.become_follower(self.hard_state.term, Some(leader));
         }
-        self.heard = self.now;
-        self.defer_election();
+        self.last_leader_contact = self.now;
+        self.reset_election_timer();
     }
 
-    fn hint(&self, previous: Position) -> u64 {
+    /// Returns the last index at which the leader's log may match: all entries of the conflicting
+    /// term are skipped in one step.
+    fn rejection_hint(&self, previous: Position) -> u64 {
         let last = self.log.last_position().index;
         if previous.index > last {
             return last;
@@ -152,7 +158,8 @@
         index
     }
 
-    fn install(&mut self, meta: SnapshotMeta, data: Vec<u8>) {
+    /// Replaces the log and the state machine by a snapshot.
+    fn install_snapshot(&mut self, meta: SnapshotMeta, data: Vec<u8>) {
         let snapshot = Arc::new(Snapshot {
             data: data.into(),
             meta,
@@ -160,12 +167,16 @@
         let index = snapshot.meta.position.index;
         self.log.reset(snapshot.clone());
         self.commit_index = index;
-        self.applied = index;
+        self.applied_index = index;
         self.records.push(Record::Install(snapshot.clone()));
         self.effects.push(Effect::Restore(snapshot));
     }
 
-    fn take_piece(
+    /// Collects the chunks of a snapshot, and installs it when it is complete.
+    ///
+    /// A snapshot whose last entry is already in the log is not needed, but shows that this entry
+    /// is committed.
+    fn on_install_snapshot(
         &mut self,
         from: MemberId,
         round: u64,
@@ -179,14 +190,14 @@
         if position.index <= self.commit_index
             || self.log.term_at(position.index) == Some(position.term)
         {
-            self.commit_to(position.index);
+            self.commit_up_to(position.index);
             let matched = position.index;
             return self.send_synced(from, term, Body::Accepted { matched, round });
         }
         if self.incoming.as_ref().is_none_or(|i| i.meta != meta) {
             let data = Vec::new();
             let meta = meta.clone();
-            self.incoming = Some(Incoming { data, meta });
+            self.incoming = Some(IncomingSnapshot { data, meta });
         }
         let Some(incoming) = &mut self.incoming else {
             return;
@@ -204,8 +215,8 @@
             };
             return self.send_synced(from, term, received);
         }
-        let whole = self.incoming.take().map(|incoming| incoming.data);
-        self.install(meta, whole.unwrap_or_default());
+        let data = self.incoming.take().map(|incoming| incoming.data);
+        self.install_snapshot(meta, data.unwrap_or_default());
         let matched = position.index;
         self.send_synced(from, term, Body::Accepted { matched, round });
     }
--- a/crates/coordination/src/raft_leader.rs
+++ b/crates/coordination/src/raft_leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: replicate, commit, answer reads and change the members.
+//! The leader: replication, commits, linearizable reads and membership changes.
 
 use std::sync::Arc;
 
@@ -21,66 +21,73 @@
 use crate::raft_progress::Progress;
 
 impl Raft {
-    /// Commits what a majority has on disk, and answers the reads that this allows.
-    pub(crate) fn advance(&mut self) {
+    /// Commits the entries that a majority has on disk, and answers the reads that this allows.
+    ///
+    /// Only an entry of the current term is committed by counting; it commits those before it.
+    /// A leader that is no longer a member steps down once its removal is committed.
+    pub(crate) fn advance_commit(&mut self) {
         let State::Leader(leader) = &self.state else {
             return;
         };
         let own = self.identity;
         let config = self.log.config();
-        let agreed = config.majority_value(|id| leader.matched(id, own));
-        if agreed > self.commit_index && self.log.term_at(agreed) == Some(self.hard_state.term) {
-            self.commit_index = agreed;
+        let majority_index = config.majority_value(|id| leader.matched(id, own));
+        if majority_index > self.commit_index
+            && self.log.term_at(majority_index) == Some(self.hard_state.term)
+        {
+            self.commit_index = majority_index;
             self.apply();
         }
-        let gone = !self.config().members.contains_key(&own);
-        if gone && self.commit_index >= self.log.config_index() {
-            return self.follow(self.hard_state.term, None);
+        let removed = !self.config().members.contains_key(&own);
+        if removed && self.commit_index >= self.log.config_index() {
+            return self.become_follower(self.hard_state.term, None);
         }
         self.answer_reads();
     }
 
-    /// Starts a round of heartbeats, or stops leading when a majority is silent.
-    pub(crate) fn beat(&mut self) {
+    /// Starts a heartbeat round when it is due, or steps down when no majority has answered within
+    /// the longest election timeout.
+    pub(crate) fn tick_leader(&mut self) {
         let limit = self.settings.election_timeout_ms + self.settings.election_jitter_ms;
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        if self.now.since(leader.checked) >= limit && leader.members.values().len() > 0 {
-            return self.follow(self.hard_state.term, None);
+        if self.now.since(leader.last_quorum_contact) >= limit && leader.members.values().len() > 0
+        {
+            return self.become_follower(self.hard_state.term, None);
         }
         if self.now < leader.heartbeat_due {
             return;
         }
-        self.start_round();
-        self.renew();
+        self.start_heartbeat_round();
+        self.renew_lease();
     }
 
-    /// Starts the term with an entry of its own, which lets it commit those of earlier terms.
+    /// Starts the term with an empty entry, whose commit also commits the entries of earlier terms.
     pub(crate) fn begin_term(&mut self) {
-        self.push(Payload::NoOp);
-        self.start_round();
-        self.renew();
+        self.append_entry(Payload::NoOp);
+        self.start_heartbeat_round();
+        self.renew_lease();
     }
 
-    /// Changes the members by one.
+    /// Appends a membership change, which is in force at once.
     pub(crate) fn change(&mut self, token: Token, change: &Change) {
-        match self.checked_change(change) {
+        match self.validated_change(change) {
             Err(refusal) => self.effects.push(Effect::Refused(token, refusal)),
             Ok(config) => {
-                let position = self.push(Payload::Config(config));
+                let position = self.append_entry(Payload::Config(config));
                 let next = self.log.last_position().index;
                 if let State::Leader(leader) = &mut self.state {
                     leader.track(self.log.config(), self.identity, next);
                 }
                 self.effects.push(Effect::Accepted(token, position));
-                self.send_all();
+                self.send_entries_to_all();
             }
         }
     }
 
-    /// Refuses the reads that wait for a majority.
-    pub(crate) fn fail_reads(&mut self) {
+    /// Refuses the pending reads.
+    pub(crate) fn refuse_reads(&mut self) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
@@ -91,63 +98,70 @@
     }
 
     pub(crate) fn on_accepted(&mut self, from: MemberId, round: u64, matched: u64) {
-        self.with_member(from, round, |progress| progress.record_accepted(matched));
+        self.update_progress(from, round, |progress| progress.record_accepted(matched));
     }
 
-    pub(crate) fn on_received(&mut self, from: MemberId, round: u64, index: u64, offset: u64) {
+    pub(crate) fn on_received_chunk(
+        &mut self,
+        from: MemberId,
+        round: u64,
+        index: u64,
+        offset: u64,
+    ) {
         let mut advanced = false;
-        self.with_member(from, round, |progress| {
+        self.update_progress(from, round, |progress| {
             advanced = progress.record_received(index, offset)
         });
         if advanced {
-            self.send_piece(from);
+            self.send_snapshot_chunk(from);
         }
     }
 
     pub(crate) fn on_rejected(&mut self, from: MemberId, round: u64, hint: u64) {
-        self.with_member(from, round, |progress| progress.record_rejected(hint));
+        self.update_progress(from, round, |progress| progress.record_rejected(hint));
     }
 
-    /// Appends commands as one batch.
+    /// Appends commands as one batch, or refuses all of them.
     pub(crate) fn propose(&mut self, commands: Vec<(Token, Arc<[u8]>)>) {
-        let waiting = self.log.last_position().index - self.commit_index;
+        let uncommitted = self.log.last_position().index - self.commit_index;
         let refusal = match &self.state {
-            State::Leader(_) if waiting < self.settings.max_uncommitted_entries => None,
+            State::Leader(_) if uncommitted < self.settings.max_uncommitted_entries => None,
             State::Leader(_) => Some(Refusal::Backlog),
             _ => Some(Refusal::NotLeader(self.leader())),
         };
         for (token, command) in commands {
             let effect = match refusal {
-                None => Effect::Accepted(token, self.push(Payload::Command(command))),
+                None => Effect::Accepted(token, self.append_entry(Payload::Command(command))),
                 Some(refusal) => Effect::Refused(token, refusal),
             };
             self.effects.push(effect);
         }
-        self.send_all();
+        self.send_entries_to_all();
     }
 
-    /// Answers a read under the lease, or after a majority confirms that this member leads.
+    /// Answers a read under the lease, or after a majority has confirmed that this member leads.
     pub(crate) fn read(&mut self, token: Token) {
-        let leads = self.leader();
+        let known_leader = self.leader();
         let commit = self.commit_index;
         let State::Leader(leader) = &mut self.state else {
-            let refusal = Refusal::NotLeader(leads);
+            let refusal = Refusal::NotLeader(known_leader);
             return self.effects.push(Effect::Refused(token, refusal));
         };
-        let leased = self.now < leader.lease(&self.settings);
+        let leased = self.now < leader.lease_end(&self.settings);
         let round = if leased { 0 } else { leader.round + 1 };
         leader.reads.push_back(PendingRead {
-            index: commit.max(leader.first),
+            index: commit.max(leader.first_index),
             round,
             token,
         });
         if !leased {
-            self.start_round();
-            self.renew();
+            self.start_heartbeat_round();
+            self.renew_lease();
         }
         self.answer_reads();
     }
 
+    /// Answers the pending reads whose round and index are confirmed, oldest first.
     fn answer_reads(&mut self) {
         let State::Leader(leader) = &mut self.state else {
             return;
@@ -164,25 +178,30 @@
         }
     }
 
-    fn checked_change(&self, change: &Change) -> Result<Config, Refusal> {
+    /// Returns the membership after `change`, or why it cannot be made now.
+    ///
+    /// A learner is promoted only if it has answered within the last two rounds and has all
+    /// committed entries.
+    fn validated_change(&self, change: &Change) -> Result<Config, Refusal> {
         let State::Leader(leader) = &self.state else {
             return Err(Refusal::NotLeader(self.leader()));
         };
-        if self.commit_index < self.log.config_index().max(leader.first) {
+        if self.commit_index < self.log.config_index().max(leader.first_index) {
             return Err(quorum::Error::ChangePending.into());
         }
         if let Change::Promote(id) = change {
             let progress = leader.members.get(id);
-            let recent =
+            let caught_up =
                 |p: &Progress| p.acked_round + 2 >= leader.round && p.matched >= self.commit_index;
-            if !progress.is_some_and(recent) {
+            if !progress.is_some_and(caught_up) {
                 return Err(quorum::Error::Behind(*id).into());
             }
         }
         Ok(self.log.config().with_change(change)?)
     }
 
-    fn push(&mut self, payload: Payload) -> Position {
+    /// Appends one entry to the log and to the records of this step.
+    fn append_entry(&mut self, payload: Payload) -> Position {
         let log_time_ms = match &self.state {
             State::Leader(leader) => leader.log_time_ms(self.now),
             _ => self.log.last_time_ms(),
@@ -204,8 +223,8 @@
         position
     }
 
-    /// Takes the newest round that a majority answered as the start of the lease.
-    fn renew(&mut self) {
+    /// Restarts the lease at the start of the newest heartbeat round that a majority has answered.
+    fn renew_lease(&mut self) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
@@ -215,21 +234,22 @@
             .config()
             .majority_value(|id| leader.acked_round(id, own));
         while leader
-            .started
+            .round_starts
             .front()
             .is_some_and(|(round, _)| *round < confirmed)
         {
-            leader.started.pop_front();
+            leader.round_starts.pop_front();
         }
-        if let Some((round, at)) = leader.started.front()
+        if let Some((round, at)) = leader.round_starts.front()
             && *round == confirmed
         {
-            leader.checked = leader.checked.max(*at);
-            leader.leased = Some(*at);
+            leader.last_quorum_contact = leader.last_quorum_contact.max(*at);
+            leader.lease_start = Some(*at);
         }
     }
 
-    fn send_all(&mut self) {
+    /// Sends each member the entries that it lacks, as far as its window allows.
+    fn send_entries_to_all(&mut self) {
         let State::Leader(leader) = &self.state else {
             return;
         };
@@ -245,6 +265,9 @@
         }
     }
 
+    /// Returns the next batch for a member, or `None` when nothing may be sent now.
+    ///
+    /// A member whose next entry is dropped from the log is sent the snapshot instead.
     fn next_batch(&mut self, peer: MemberId) -> Option<Body> {
         let State::Leader(leader) = &mut self.state else {
             return None;
@@ -262,7 +285,7 @@
             let index = self.log.snapshot().meta.position.index;
             let offset = 0;
             progress.mode = Mode::Snapshot { index, offset };
-            self.send_piece(peer);
+            self.send_snapshot_chunk(peer);
             return None;
         };
         let entries = self
@@ -283,6 +306,7 @@
         })
     }
 
+    /// Sends a heartbeat, and probes again if nothing new was confirmed since the last one.
     fn send_heartbeat(&mut self, peer: MemberId) {
         let State::Leader(leader) = &mut self.state else {
             return;
@@ -290,14 +314,14 @@
         let Some(progress) = leader.members.get_mut(&peer) else {
             return;
         };
-        let stuck = !std::mem::take(&mut progress.advanced);
+        let stalled = !std::mem::take(&mut progress.advanced);
         match &mut progress.mode {
             Mode::Probe { in_flight } => *in_flight = false,
-            Mode::Replicate if stuck && !progress.in_flight.is_empty() => {
+            Mode::Replicate if stalled && !progress.in_flight.is_empty() => {
                 progress.probe(progress.matched + 1);
             }
             Mode::Replicate => {}
-            Mode::Snapshot { .. } if stuck => return self.send_piece(peer),
+            Mode::Snapshot { .. } if stalled => return self.send_snapshot_chunk(peer),
             Mode::Snapshot { .. } => return,
         }
         let index = progress.matched;
@@ -315,7 +339,8 @@
         self.send_entries(peer);
     }
 
-    fn send_piece(&mut self, peer: MemberId) {
+    /// Sends the next chunk of the newest snapshot; a newer snapshot starts from its first byte.
+    fn send_snapshot_chunk(&mut self, peer: MemberId) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
@@ -344,20 +369,21 @@
         self.send(peer, self.hard_state.term, body);
     }
 
-    fn start_round(&mut self) {
+    fn start_heartbeat_round(&mut self) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
         leader.round += 1;
         leader.heartbeat_due = self.now + self.settings.heartbeat_interval_ms;
-        leader.started.push_back((leader.round, self.now));
+        leader.round_starts.push_back((leader.round, self.now));
         let peers: Vec<MemberId> = leader.members.keys().copied().collect();
         for peer in peers {
             self.send_heartbeat(peer);
         }
     }
 
-    fn with_member(&mut self, from: MemberId, round: u64, change: impl FnOnce(&mut Progress)) {
+    /// Applies a member's answer to its progress, then commits and sends what this allows.
+    fn update_progress(&mut self, from: MemberId, round: u64, change: impl FnOnce(&mut Progress)) {
         let State::Leader(leader) = &mut self.state else {
             return;
         };
@@ -366,8 +392,8 @@
         };
         progress.acked_round = progress.acked_round.max(round);
         change(progress);
-        self.renew();
-        self.advance();
+        self.renew_lease();
+        self.advance_commit();
         self.send_entries(from);
     }
 }
--- a/crates/coordination/src/raft_leader_state.rs
+++ b/crates/coordination/src/raft_leader_state.rs
@@ -1,4 +1,4 @@
-//! What only a leader knows: how far each member is, what waits, and until when it leads.
+//! State that only a leader has: replication progress, pending reads and its lease.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,55 +11,69 @@
 use crate::raft_settings::Settings;
 use state::time::Instant;
 
-/// Names a read that waits to be answered.
+/// A read that waits for its index to be committed and for a majority to confirm the leader.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
+    /// Index that must be committed first: the commit index at the time of the request, or the first
+    /// index of the term if that is greater.
     pub(crate) index: u64,
+    /// Heartbeat round that a majority must answer first; 0 under a lease.
     pub(crate) round: u64,
     pub(crate) token: Token,
 }
 
-/// Holds what only a leader knows.
+/// State of a leader in one term.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
-    pub(crate) base: u64,
-    pub(crate) checked: Instant,
-    pub(crate) durable: u64,
-    pub(crate) first: u64,
+    /// Log time at which the term started, in milliseconds.
+    pub(crate) start_log_time_ms: u64,
+    /// Start of the newest heartbeat round that a majority has answered.
+    pub(crate) last_quorum_contact: Instant,
+    /// Last index that is synced to the leader's own disk.
+    pub(crate) synced_index: u64,
+    /// Index of the first entry of the term.
+    pub(crate) first_index: u64,
     pub(crate) heartbeat_due: Instant,
-    pub(crate) leased: Option<Instant>,
+    /// Start of the round from which the lease counts.
+    pub(crate) lease_start: Option<Instant>,
     pub(crate) members: BTreeMap<MemberId, Progress>,
     pub(crate) reads: VecDeque<PendingRead>,
+    /// Number of the newest heartbeat round.
     pub(crate) round: u64,
-    pub(crate) since: Instant,
-    pub(crate) started: VecDeque<(u64, Instant)>,
+    /// Time at which the term started.
+    pub(crate) started_at: Instant,
+    /// Rounds with their start times, from the newest one that a majority has answered on.
+    pub(crate) round_starts: VecDeque<(u64, Instant)>,
 }
 
 impl LeaderState {
-    /// Returns a leader that starts at `now`, when the log's time is `base`.
-    pub(crate) fn new(now: Instant, base: u64, durable: u64) -> Self {
+    /// Returns a leader whose term starts at `now`, when log time is `start_log_time_ms`.
+    ///
+    /// Entries up to `synced_index`, the last one of earlier terms, are on its own disk.
+    pub(crate) fn new(now: Instant, start_log_time_ms: u64, synced_index: u64) -> Self {
         Self {
-            base,
-            checked: now,
-            durable,
-            first: durable + 1,
+            start_log_time_ms,
+            last_quorum_contact: now,
+            synced_index,
+            first_index: synced_index + 1,
             heartbeat_due: now,
-            leased: None,
+            lease_start: None,
             members: BTreeMap::new(),
             reads: VecDeque::new(),
             round: 0,
-            since: now,
-            started: VecDeque::new(),
+            started_at: now,
+            round_starts: VecDeque::new(),
         }
     }
 
-    /// Returns until when no other member can lead.
-    pub(crate) fn lease(&self, settings: &Settings) -> Instant {
-        let span = lease::shorten_for_clock_drift(settings.election_timeout_ms);
-        self.leased.map_or(Instant(0), |start| start + span)
+    /// Returns the time before which no other member can become leader.
+    pub(crate) fn lease_end(&self, settings: &Settings) -> Instant {
+        let duration = lease::shorten_for_clock_drift(settings.election_timeout_ms);
+        self.lease_start
+            .map_or(Instant(0), |start| start + duration)
     }
 
-    /// Follows the members of `config`; new ones are sent entries from `next` on.
+    /// Tracks exactly the members of `config`; new ones are sent entries from `next_index` on.
     pub(crate) fn track(&mut self, config: &Config, own: MemberId, next_index: u64) {
         self.members.retain(|id, _| config.members.contains_key(id));
         for id in config.members.keys().filter(|id| **id != own) {
@@ -74,20 +88,20 @@
         matched.collect()
     }
 
-    /// Returns the log's time at `now`.
+    /// Returns the log time at `now`, in milliseconds.
     pub(crate) fn log_time_ms(&self, now: Instant) -> u64 {
-        self.base + now.since(self.since)
+        self.start_log_time_ms + now.since(self.started_at)
     }
 
     /// Returns the index up to which a member's log is known to match.
     pub(crate) fn matched(&self, id: MemberId, own: MemberId) -> u64 {
         if id == own {
-            return self.durable;
+            return self.synced_index;
         }
         self.members.get(&id).map_or(0, |p| p.matched)
     }
 
-    /// Returns the last round of heartbeats that a member has answered.
+    /// Returns the newest heartbeat round that a member has answered.
     pub(crate) fn acked_round(&self, id: MemberId, own: MemberId) -> u64 {
         if id == own {
             return self.round;
--- a/crates/coordination/src/raft_log.rs
+++ b/crates/coordination/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The entries that a member holds in memory: those after its newest snapshot.
+//! In-memory log of a member: its newest snapshot and the entries after it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,9 +10,10 @@
 use crate::raft_entry::Snapshot;
 use crate::raft_entry::SnapshotMeta;
 
-/// Holds the newest snapshot and the entries after it.
+/// The newest snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
+    /// Index and membership of each membership entry after the snapshot.
     configs: Vec<(u64, Config)>,
     entries: VecDeque<Entry>,
     snapshot: Arc<Snapshot>,
@@ -27,21 +28,21 @@
         log
     }
 
-    /// Returns the log's time of the last entry.
+    /// Returns the log time of the last entry, in milliseconds.
     pub fn last_time_ms(&self) -> u64 {
         let last = self.entries.back();
         last.map_or(self.snapshot.meta.log_time_ms, |entry| entry.log_time_ms)
     }
 
-    /// Returns entries from `index` on, at least one where there is one, up to `bytes`.
-    pub fn batch(&self, index: u64, bytes: usize) -> Vec<Entry> {
-        let mut room = bytes;
+    /// Returns entries from `index` on, up to `max_bytes` in all, but at least one if there is one.
+    pub fn batch(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
+        let mut remaining = max_bytes;
         let mut batch = Vec::new();
         for entry in self.entries.iter().skip(self.offset(index)) {
-            if !batch.is_empty() && entry.size() > room {
+            if !batch.is_empty() && entry.size() > remaining {
                 break;
             }
-            room = room.saturating_sub(entry.size());
+            remaining = remaining.saturating_sub(entry.size());
             batch.push(entry.clone());
         }
         batch
@@ -49,7 +50,8 @@
 
     /// Replaces the entries up to `index` by a snapshot that holds `data`.
     ///
-    /// Returns the snapshot, or `None` when `index` is already covered or not held.
+    /// Returns the snapshot, or `None` when an earlier snapshot covers `index` or the log ends
+    /// before it.
     pub fn compact(&mut self, index: u64, data: Arc<[u8]>) -> Option<Arc<Snapshot>> {
         if index <= self.snapshot.meta.position.index {
             return None;
@@ -66,23 +68,23 @@
         Some(self.snapshot.clone())
     }
 
-    /// Returns the newest members.
+    /// Returns the newest membership, committed or not.
     pub fn config(&self) -> &Config {
         self.config_at(u64::MAX)
     }
 
-    /// Returns the index of the entry that set the newest members.
+    /// Returns the index of the entry with the newest membership, or 0 when a snapshot covers it.
     pub fn config_index(&self) -> u64 {
         self.configs.last().map_or(0, |(index, _)| *index)
     }
 
-    /// Returns the place of the last entry.
+    /// Returns the position of the last entry.
     pub fn last_position(&self) -> Position {
         let last = self.entries.back();
         last.map_or(self.snapshot.meta.position, |entry| entry.position)
     }
 
-    /// Adds an entry after the last one.
+    /// Appends an entry.
     pub fn push(&mut self, entry: Entry) {
         if let Payload::Config(config) = &entry.payload {
             self.configs.push((entry.position.index, config.clone()));
@@ -97,7 +99,7 @@
         self.entries.range(start..end).cloned().collect()
     }
 
-    /// Forgets all entries and starts after `snapshot`.
+    /// Drops all entries and starts after `snapshot`.
     pub fn reset(&mut self, snapshot: Arc<Snapshot>) {
         self.configs.clear();
         self.entries.clear();
@@ -109,7 +111,7 @@
         &self.snapshot
     }
 
-    /// Returns the term of the entry at `index`, unless it is not held.
+    /// Returns the term of the entry at `index`, or `None` when the log does not hold it.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         let base = self.snapshot.meta.position;
         if index <= base.index {
@@ -119,15 +121,15 @@
         Some(entry.position.term)
     }
 
-    /// Removes the entries at and after `index`.
+    /// Removes the entries from `index` on.
     pub fn truncate(&mut self, index: u64) {
         self.entries.truncate(self.offset(index));
         self.configs.retain(|(at, _)| *at < index);
     }
 
     fn config_at(&self, index: u64) -> &Config {
-        let set = self.configs.iter().rev().find(|(at, _)| *at <= index);
-        set.map_or(&self.snapshot.meta.config, |(_, config)| config)
+        let newest = self.configs.iter().rev().find(|(at, _)| *at <= index);
+        newest.map_or(&self.snapshot.meta.config, |(_, config)| config)
     }
 
     fn offset(&self, index: u64) -> usize {
--- a/crates/coordination/src/raft_message.rs
+++ b/crates/coordination/src/raft_message.rs
@@ -1,4 +1,4 @@
-//! What members of the replicated log tell each other.
+//! Messages between the members of a Raft group.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,107 +8,109 @@
 use crate::raft_entry::Position;
 use crate::raft_entry::SnapshotMeta;
 
-/// Carries one message.
+/// One message with its sender, receiver and term.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Envelope {
-    /// Holds the message.
+    /// Content of the message.
     pub body: Body,
-    /// Names the sender.
+    /// Sender.
     pub from: MemberId,
-    /// Identifies the sender's group.
+    /// Group of the sender; messages of another group are dropped.
     pub group: MemberId,
-    /// Gives the sender's term; for a pre-vote and its grant the term that would follow.
+    /// Term of the sender; for a pre-vote and its grant, the term of the election to come.
     pub term: u64,
-    /// Names the receiver, by identity and not by host.
+    /// Receiver: the owner of a data folder, not whichever member now runs on its host.
     pub to: MemberId,
 }
 
 impl Envelope {
-    /// Returns the approximate size in bytes.
+    /// Returns the approximate size of the message, in bytes.
     pub fn size(&self) -> usize {
-        const OVERHEAD: usize = 64;
+        const OVERHEAD_BYTES: usize = 64;
         match &self.body {
             Body::Append { entries, .. } => {
-                OVERHEAD + entries.iter().map(Entry::size).sum::<usize>()
+                OVERHEAD_BYTES + entries.iter().map(Entry::size).sum::<usize>()
             }
-            Body::InstallSnapshot { data, .. } => OVERHEAD + data.len(),
-            _ => OVERHEAD,
+            Body::InstallSnapshot { data, .. } => OVERHEAD_BYTES + data.len(),
+            _ => OVERHEAD_BYTES,
         }
     }
 }
 
-/// Holds a message.
+/// Content of a message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Body {
-    /// Confirms entries that are on the sender's disk.
+    /// Reply to `Append` or `InstallSnapshot`: the entries are on the sender's disk.
     Accepted {
-        /// Gives the last index up to which both logs are the same.
+        /// Last index up to which the sender's log matches the leader's.
         matched: u64,
-        /// Repeats the round.
+        /// Round of the message that this answers.
         round: u64,
     },
-    /// Brings entries; without any it is a heartbeat.
+    /// Entries to append; without entries it is a heartbeat.
     Append {
-        /// Gives the leader's commit index.
+        /// Commit index of the leader.
         commit: u64,
-        /// Holds the entries.
+        /// Entries, in order.
         entries: Vec<Entry>,
-        /// Names the entry before them.
+        /// Position of the entry before them, at which the logs must match.
         previous: Position,
-        /// Numbers the leader's round of messages.
+        /// Heartbeat round of the leader, which counts up in each term.
         round: u64,
     },
-    /// Brings a piece of a snapshot.
+    /// One chunk of a snapshot, for a member that lacks entries dropped from the leader's log.
     InstallSnapshot {
-        /// Holds the piece.
+        /// Bytes of the chunk.
         data: Vec<u8>,
-        /// Describes the snapshot.
+        /// Description of the whole snapshot.
         meta: SnapshotMeta,
-        /// Gives where the piece starts, in bytes.
+        /// Offset of the chunk in the snapshot's data, in bytes.
         offset: u64,
-        /// Numbers the leader's round of messages.
+        /// Heartbeat round of the leader, which counts up in each term.
         round: u64,
-        /// Gives the size of the whole snapshot, in bytes.
+        /// Size of the whole snapshot's data, in bytes.
         total: u64,
     },
-    /// Asks whether a candidate would be voted for.
+    /// Asks whether the receiver would vote for the sender, without starting an election.
     PreVote {
-        /// Names the candidate's last entry.
+        /// Position of the candidate's last entry.
         last: Position,
     },
-    /// Answers a pre-vote.
+    /// Reply to `PreVote`.
     PreVoteReply {
-        /// Tells whether the candidate would be voted for.
+        /// Whether the sender would vote for the candidate.
         granted: bool,
     },
-    /// Tells how much of a snapshot has arrived.
+    /// Reply to `InstallSnapshot`: more chunks are needed.
     ReceivedChunk {
-        /// Gives the index of the snapshot.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// Gives where the next piece starts, in bytes.
+        /// Offset at which the next chunk must start, in bytes.
         offset: u64,
-        /// Repeats the round.
+        /// Round of the message that this answers.
         round: u64,
     },
-    /// Refuses entries whose predecessor the sender lacks.
+    /// Reply to `Append`: the sender's log does not match at the previous entry.
+    ///
+    /// Also answers any leader's message of an older term.
     Rejected {
-        /// Gives the last index at which the logs may be the same.
+        /// Last index at which the logs may still match.
         hint: u64,
-        /// Repeats the round.
+        /// Round of the message that this answers.
         round: u64,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// Names the candidate's last entry.
+        /// Position of the candidate's last entry.
         last: Position,
     },
-    /// Answers a request for a vote.
+    /// Reply to `Vote`.
     VoteReply {
-        /// Tells whether the vote is the candidate's.
+        /// Whether the sender voted for the candidate.
         granted: bool,
     },
 }
 
-/// Names something that the driver waits for.
+/// Id that the driver gives a request, so that it can match the answer to it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Token(pub u64);
--- a/crates/coordination/src/raft_progress.rs
+++ b/crates/coordination/src/raft_progress.rs
@@ -1,45 +1,45 @@
-//! What a leader knows of one other member.
+//! Replication progress of one member, as tracked by the leader.
 
 use std::collections::VecDeque;
 
-/// Tells how a leader sends to a member.
+/// How the leader sends entries to a member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mode {
-    /// Sends one batch and waits, because the member's log is not known yet.
+    /// One batch at a time, because it is not known yet where the logs match.
     Probe {
-        /// Tells whether a batch is under way.
+        /// Whether a batch is in flight.
         in_flight: bool,
     },
-    /// Sends batches without waiting, up to the window.
+    /// Pipelined batches, up to the window.
     Replicate,
-    /// Sends a snapshot in pieces.
+    /// A snapshot, one chunk at a time.
     Snapshot {
-        /// Gives the index of the snapshot.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
-        /// Gives how many bytes have arrived.
+        /// Number of bytes that have arrived.
         offset: u64,
     },
 }
 
-/// Tracks one other member.
+/// Replication progress of one other member.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Gives the newest round that the member answered.
+    /// Newest heartbeat round that the member has answered.
     pub acked_round: u64,
-    /// Gives the last index that is on the member's disk.
+    /// Last index up to which the member's log on disk matches the leader's.
     pub matched: u64,
-    /// Tells how to send.
+    /// How entries are sent at present.
     pub mode: Mode,
-    /// Tells whether the member confirmed anything new since the last heartbeat.
+    /// Whether the member has confirmed anything new since the last heartbeat.
     pub advanced: bool,
-    /// Gives the index to send next.
+    /// Index of the next entry to send.
     pub next_index: u64,
-    /// Holds the last index of each batch under way.
+    /// Last index of each batch in flight.
     pub in_flight: VecDeque<u64>,
 }
 
 impl Progress {
-    /// Returns the progress of a member of which nothing is known.
+    /// Returns the progress of a member whose log is not known yet.
     pub fn new(next_index: u64) -> Self {
         Self {
             acked_round: 0,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes in a confirmation up to `matched`.
+    /// Records that the member's log matches up to `matched`.
     pub fn record_accepted(&mut self, matched: u64) {
         let advanced = matched > self.matched;
         self.advanced |= advanced;
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Goes back to one batch at a time from `next` on.
+    /// Goes back to one batch at a time, from `next_index` on.
     pub fn probe(&mut self, next_index: u64) {
         self.next_index = next_index.max(self.matched + 1);
         self.in_flight.clear();
         self.mode = Mode::Probe { in_flight: false };
     }
 
-    /// Takes in how much of a snapshot has arrived, and returns whether it was news.
+    /// Records how much of a snapshot has arrived, and returns whether that is more than before.
     pub fn record_received(&mut self, snapshot: u64, arrived: u64) -> bool {
         match &mut self.mode {
             Mode::Snapshot { index, offset } if *index == snapshot => {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes in a refusal of the batch after an entry that the member lacks.
+    /// Records that the member rejected a batch, and resumes after `hint`.
     pub fn record_rejected(&mut self, hint: u64) {
         if hint >= self.matched && !matches!(self.mode, Mode::Snapshot { .. }) {
             self.probe(self.next_index.min(hint + 1));
--- a/crates/coordination/src/raft_settings.rs
+++ b/crates/coordination/src/raft_settings.rs
@@ -1,6 +1,6 @@
-//! The timing and the bounds of the replicated log.
+//! Timeouts and limits of a Raft group.
 
-/// Holds the timing and the bounds of the replicated log.
+/// Timeouts and limits of a Raft group.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub(crate) max_uncommitted_entries: u64,
@@ -27,7 +27,7 @@
 }
 
 impl Settings {
-    /// Sets how many entries may wait for commitment before proposals are refused.
+    /// Sets the number of uncommitted entries from which on proposals are refused.
     #[must_use]
     pub fn max_uncommitted_entries(self, max_uncommitted_entries: u64) -> Self {
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sets the most bytes of entries in one message.
+    /// Sets the maximum size of the entries in one message, in bytes.
     #[must_use]
     pub fn max_batch_bytes(self, max_batch_bytes: usize) -> Self {
         Self {
@@ -45,8 +45,7 @@
         }
     }
 
-    /// Sets the shortest election timeout and how much longer a random one may be, in
-    /// milliseconds.
+    /// Sets the election timeout and the maximum random time that is added to it, in milliseconds.
     #[must_use]
     pub fn election_timeout_ms(self, election_timeout_ms: u64, election_jitter_ms: u64) -> Self {
         Self {
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Sets the most bytes of one piece of a snapshot.
+    /// Sets the maximum size of one chunk of a snapshot, in bytes.
     #[must_use]
     pub fn max_chunk_bytes(self, max_chunk_bytes: usize) -> Self {
         Self {
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Sets how many batches may be under way to one member.
+    /// Sets the maximum number of batches in flight to one member.
     #[must_use]
     pub fn window(self, window: usize) -> Self {
         Self { window, ..self }
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -4,6 +4,9 @@
 
 use std::collections::BTreeMap;
 
+use crate::upstream_fixtures::engines;
+use crate::upstream_fixtures::fleet;
+use crate::upstream_fixtures::pending_prefill;
 use coordination::assignment::Ask;
 use coordination::assignment::Desk;
 use coordination::choice::Choice;
@@ -15,9 +18,6 @@
 use coordination::upstream_load::LoadAggregator;
 use coordination::upstream_load::UpstreamLoads;
 use state::time::Instant;
-use upstream_fixtures::engines;
-use upstream_fixtures::fleet;
-use upstream_fixtures::pending_prefill;
 
 const ENGINES: usize = 40;
 const PROMPTS: usize = 30;
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -7,6 +7,10 @@
 
 use assert_matches::assert_matches;
 
+use crate::upstream_fixtures::address;
+use crate::upstream_fixtures::engines;
+use crate::upstream_fixtures::fleet;
+use crate::upstream_fixtures::pending_prefill;
 use coordination::choice::Choice;
 use coordination::choice::Rank;
 use coordination::choice::Refusal;
@@ -16,10 +20,6 @@
 use coordination::upstream::Standing;
 use coordination::upstream_load::UpstreamLoad;
 use state::time::Instant;
-use upstream_fixtures::address;
-use upstream_fixtures::engines;
-use upstream_fixtures::fleet;
-use upstream_fixtures::pending_prefill;
 
 const STORE: &str = "store";
 
--- a/crates/coordination/tests/reload.rs
+++ b/crates/coordination/tests/reload.rs
@@ -4,6 +4,7 @@
 
 use std::collections::BTreeMap;
 
+use crate::upstream_fixtures::listed_upstream;
 use coordination::reload::Effect;
 use coordination::reload::Event;
 use coordination::reload::Outcome;
@@ -12,7 +13,6 @@
 use coordination::reload::Report;
 use coordination::upstream_load::UpstreamLoad;
 use state::time::Instant;
-use upstream_fixtures::listed_upstream;
 
 const MODEL: &str = "m";
 
