--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -1,10 +1,10 @@
-//! Moves engines to the model, version, adapter and role that the table asks for.
+//! The roll-out controller: moves engines to the model, version, adapter and role in the table.
 //!
-//! One controller acts at a time, under a lease whose fencing number its orders carry. It reads an
-//! engine before it gives an order, gives one order at a time to each, bounds how many load at once
-//! and how fast loads start, and never takes the last engines that serve a model. After a change of
-//! controller, engines that do not check fencing numbers are left alone until no order of the
-//! earlier controller can still arrive.
+//! One controller acts at a time, under a lease whose fencing token its orders carry. It reads the
+//! state of an engine before it sends an order, sends each engine one order at a time, limits how
+//! many engines load at once and how fast loads start, and never takes the last engines that serve
+//! a model. After a change of controller, an engine that does not check fencing tokens gets no
+//! order until no order of the earlier controller can still arrive.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,119 +19,128 @@
 use crate::engine_state::EngineState;
 use state::time::Instant;
 
-/// Bounds the time that an order or a read may take, in milliseconds.
+/// Timeout of an order or a read, in milliseconds.
 pub const CALL_TIMEOUT_MS: u64 = 2_000;
 
-const BACKOFF_MS: u64 = 1_000;
-const BACKOFF_LIMIT_MS: u64 = 30_000;
-/// Bounds the age of a reading by which an engine counts as serving.
-const FRESH_MS: u64 = 1_500;
+const BACKOFF_BASE_MS: u64 = 1_000;
+const MAX_BACKOFF_MS: u64 = 30_000;
+/// Maximum age of the last read by which an engine counts as serving.
+const SERVING_FRESHNESS_MS: u64 = 1_500;
+/// Time between two reads of an engine that has not reached its goal.
 const READ_PERIOD_MS: u64 = 500;
+/// Time between two reads of an engine that has reached its goal.
 const SETTLED_READ_PERIOD_MS: u64 = 10_000;
-const START_PERIOD_MS: u64 = 250;
-const STUCK_MS: u64 = 60_000;
+/// Minimum time between the starts of two loads.
+const LOAD_START_PERIOD_MS: u64 = 250;
+/// Time after which a load that has not ended is reported and no longer counts as loading.
+const STUCK_AFTER_MS: u64 = 60_000;
 const TRIES_UNTIL_REPORT: u32 = 3;
 
-/// Tells how an order was answered.
+/// The outcome of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// Means that the engine took the order.
+    /// The engine accepted the order.
     Accepted,
-    /// Means that the engine refused the order, which had no effect.
+    /// The engine refused the order, which had no effect.
     Refused,
-    /// Means that the engine has seen a later fencing number.
-    StaleFence,
-    /// Means that the outcome is unknown.
+    /// The engine refused the order because it has seen a greater fencing token.
+    Stale,
+    /// No answer arrived: the order may or may not have had an effect.
     Unanswered,
 }
 
-/// Tells the controller what happened.
+/// An input of the controller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// Tells that the lease is held until then, under that fencing number.
+    /// This host was granted the lease, or extended it.
     Leased {
-        /// Holds the fencing number.
+        /// Fencing token of the lease.
         fence: u64,
-        /// Tells until when, on this host's clock.
+        /// End of the lease, on this host's clock.
         until: Instant,
     },
-    /// Tells how an order was answered.
+    /// An order was answered or timed out.
     Ordered {
-        /// Holds the answer.
+        /// Outcome of the order.
         reply: Reply,
-        /// Names the engine.
+        /// Name of the engine.
         upstream: String,
     },
-    /// Tells what an engine said of itself, or that it did not answer.
+    /// The state of an engine was read, or the engine did not answer.
     Read {
-        /// Holds what it said.
-        standing: Option<EngineState>,
-        /// Names the engine.
+        /// State of the engine; `None` if it did not answer.
+        state: Option<EngineState>,
+        /// Name of the engine.
         upstream: String,
     },
-    /// Brings what the table asks for.
+    /// The table changed: the goals of all engines.
     Table(DesiredState),
-    /// Lets time pass.
+    /// Time has passed.
     Tick,
 }
 
-/// Tells what to do.
+/// An action that the controller requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Has an order given.
+    /// Send an order to an engine.
     Order {
-        /// Tells what to change.
+        /// Change that the engine is to make.
         action: Action,
-        /// Holds the fencing number.
+        /// Fencing token of the lease.
         fence: u64,
-        /// Names the order.
+        /// Id of the order.
         id: String,
-        /// Names the engine.
+        /// Name of the engine.
         upstream: String,
     },
-    /// Has an engine asked what it serves.
+    /// Read the state of an engine.
     Read(String),
-    /// Has operators told of a step.
+    /// Report a step of the roll-out of an engine to operators.
     Report(Step, String),
 }
 
-/// Names a step of a roll-out that operators are told of.
+/// A step of a roll-out that is reported to operators.
 #[derive(Clone, Copy, Debug, Display, EnumIter, Eq, Hash, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Step {
-    /// Means that taking the engine would leave too few that serve its model.
+    /// Taking the engine would leave too few engines that serve its model.
     Blocked,
-    /// Means that the engine serves what the table asks for.
+    /// The engine has reached its goal.
     Done,
-    /// Means that the lease is lost to another controller.
+    /// Another controller has taken over the lease.
     Lost,
-    /// Means that an order was given.
+    /// An order was sent.
     Ordered,
-    /// Means that the engine refused an order several times.
+    /// The engine refused an order several times.
     Refused,
-    /// Means that the engine loads for far too long.
+    /// The engine has been loading for far too long.
     Stuck,
 }
 
+/// What the controller knows about one engine.
 #[derive(Clone, Debug, Default)]
 struct Engine {
-    at: Instant,
+    read_at: Instant,
     blocked: bool,
-    busy_since: Option<Instant>,
-    held: Instant,
-    next: Instant,
+    loading_since: Option<Instant>,
+    /// Time before which the engine gets no order, after it refused one.
+    not_before: Instant,
+    next_read: Instant,
     phase: Phase,
-    standing: Option<EngineState>,
+    state: Option<EngineState>,
     stuck: bool,
     tries: u32,
 }
 
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum Phase {
+    /// An order is in flight.
     Ordering,
+    /// A read is in flight.
     Reading,
+    /// Nothing is in flight.
     #[default]
-    Resting,
+    Waiting,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -141,7 +150,7 @@
     until: Instant,
 }
 
-/// Steps through roll-outs.
+/// Plans the orders and reads that move all engines to their goals.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
     desired: DesiredState,
@@ -149,25 +158,25 @@
     engines: BTreeMap<String, Engine>,
     lease: Option<Lease>,
     now: Instant,
-    orders: u64,
-    started: Option<Instant>,
+    orders_sent: u64,
+    last_load_start: Option<Instant>,
 }
 
 impl Rollout {
-    /// Takes `event` at `now` and returns what to do.
+    /// Processes `event` at `now` and returns the resulting effects.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         self.now = now;
         match event {
-            Event::Leased { fence, until } => self.leased(fence, until),
-            Event::Ordered { reply, upstream } => self.ordered(&reply, &upstream),
-            Event::Read { standing, upstream } => self.read(standing, &upstream),
-            Event::Table(desired) => self.desire(desired),
+            Event::Leased { fence, until } => self.lease_granted(fence, until),
+            Event::Ordered { reply, upstream } => self.order_answered(&reply, &upstream),
+            Event::Read { state, upstream } => self.state_read(state, &upstream),
+            Event::Table(desired) => self.set_desired(desired),
             Event::Tick => self.tick(),
         }
         std::mem::take(&mut self.effects)
     }
 
-    fn leased(&mut self, fence: u64, until: Instant) {
+    fn lease_granted(&mut self, fence: u64, until: Instant) {
         match &mut self.lease {
             Some(lease) if lease.fence == fence => lease.until = lease.until.max(until),
             _ => {
@@ -178,50 +187,50 @@
                     until,
                 });
                 self.engines.clear();
-                self.started = None;
+                self.last_load_start = None;
             }
         }
     }
 
-    fn desire(&mut self, desired: DesiredState) {
+    fn set_desired(&mut self, desired: DesiredState) {
         self.desired = desired;
         let goals = &self.desired.goals;
         self.engines.retain(|name, _| goals.contains_key(name));
         for engine in self.engines.values_mut() {
             engine.blocked = false;
             engine.tries = 0;
-            engine.held = self.now;
-            engine.next = self.now;
+            engine.not_before = self.now;
+            engine.next_read = self.now;
         }
     }
 
-    fn ordered(&mut self, reply: &Reply, upstream: &str) {
+    fn order_answered(&mut self, reply: &Reply, upstream: &str) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(upstream) else {
             return;
         };
-        engine.phase = Phase::Resting;
-        engine.next = now;
+        engine.phase = Phase::Waiting;
+        engine.next_read = now;
         match reply {
             Reply::Accepted | Reply::Unanswered => {
-                engine.standing = None;
+                engine.state = None;
             }
             Reply::Refused => {
-                engine.busy_since = None;
+                engine.loading_since = None;
                 engine.tries += 1;
-                engine.held = now + backoff(engine.tries);
+                engine.not_before = now + backoff_ms(engine.tries);
                 if engine.tries == TRIES_UNTIL_REPORT {
-                    self.tell(Step::Refused, upstream);
+                    self.report(Step::Refused, upstream);
                 }
             }
-            Reply::StaleFence => {
+            Reply::Stale => {
                 self.lease = None;
-                self.tell(Step::Lost, upstream);
+                self.report(Step::Lost, upstream);
             }
         }
     }
 
-    fn read(&mut self, standing: Option<EngineState>, upstream: &str) {
+    fn state_read(&mut self, state: Option<EngineState>, upstream: &str) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(upstream) else {
             return;
@@ -229,30 +238,30 @@
         if engine.phase != Phase::Reading {
             return;
         }
-        engine.phase = Phase::Resting;
-        engine.at = now;
+        engine.phase = Phase::Waiting;
+        engine.read_at = now;
         let goal = self.desired.goals.get(upstream);
         let serves = |s: &EngineState| goal.is_some_and(|goal| goal.next_action(s).is_none());
-        engine.next = match standing.as_ref().is_some_and(serves) {
+        engine.next_read = match state.as_ref().is_some_and(serves) {
             false => now + READ_PERIOD_MS,
             true => now + SETTLED_READ_PERIOD_MS,
         };
-        let loads = standing.as_ref().is_some_and(|s| s.loading.is_some());
-        if standing.is_some() {
-            engine.busy_since = match loads {
+        let is_loading = state.as_ref().is_some_and(|s| s.loading.is_some());
+        if state.is_some() {
+            engine.loading_since = match is_loading {
                 false => None,
-                true => engine.busy_since.or(Some(now)),
+                true => engine.loading_since.or(Some(now)),
             };
-            engine.stuck &= loads;
+            engine.stuck &= is_loading;
         }
-        engine.standing = standing;
-        if engine.standing.is_some() && !loads {
-            self.judge(upstream);
+        engine.state = state;
+        if engine.state.is_some() && !is_loading {
+            self.report_reached_goal(upstream);
         }
     }
 
-    /// Notes that an engine reached its goal.
-    fn judge(&mut self, upstream: &str) {
+    /// Reports an engine that has reached its goal after an order.
+    fn report_reached_goal(&mut self, upstream: &str) {
         let Some(goal) = self.desired.goals.get(upstream) else {
             return;
         };
@@ -260,12 +269,12 @@
             return;
         };
         let reached = engine
-            .standing
+            .state
             .as_ref()
             .is_some_and(|s| goal.next_action(s).is_none());
         if reached && engine.tries > 0 {
             engine.tries = 0;
-            self.tell(Step::Done, upstream);
+            self.report(Step::Done, upstream);
         }
     }
 
@@ -277,83 +286,84 @@
             return;
         }
         let names: Vec<String> = self.desired.goals.keys().cloned().collect();
-        let moving = self.moving();
+        let models_being_left = self.models_being_left();
         for name in &names {
             self.engines.entry(name.clone()).or_default();
-            self.watch(name, &moving);
+            self.poll(name, &models_being_left);
         }
         for name in &names {
-            self.advance(name, lease);
+            self.order_next(name, lease);
         }
     }
 
-    /// Reads an engine whose state is unknown, changing or old.
-    /// Returns the models that engines are to leave, whose others must be known afresh.
-    fn moving(&self) -> BTreeSet<String> {
+    /// Returns the models that some engine is to leave. The states of all engines that serve such a
+    /// model must be fresh, so that enough of them remain.
+    fn models_being_left(&self) -> BTreeSet<String> {
         let mut models = BTreeSet::new();
         for (name, goal) in &self.desired.goals {
             let engine = self.engines.get(name);
-            let Some(standing) = engine.and_then(|engine| engine.standing.as_ref()) else {
+            let Some(state) = engine.and_then(|engine| engine.state.as_ref()) else {
                 continue;
             };
-            if goal.next_action(standing).is_some() {
-                models.insert(standing.model.clone());
+            if goal.next_action(state).is_some() {
+                models.insert(state.model.clone());
             }
         }
         models
     }
 
-    fn watch(&mut self, name: &str, moving: &BTreeSet<String>) {
+    /// Reads an engine whose state is unknown, changing or old, and reports one that is stuck.
+    fn poll(&mut self, name: &str, models_being_left: &BTreeSet<String>) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let moves = |standing: &EngineState| moving.contains(&standing.model);
-        if engine.standing.as_ref().is_some_and(moves) {
-            engine.next = engine.next.min(engine.at + READ_PERIOD_MS);
+        let is_being_left = |state: &EngineState| models_being_left.contains(&state.model);
+        if engine.state.as_ref().is_some_and(is_being_left) {
+            engine.next_read = engine.next_read.min(engine.read_at + READ_PERIOD_MS);
         }
-        let loads = engine
-            .busy_since
-            .is_some_and(|since| now.since(since) >= STUCK_MS);
-        if loads && !engine.stuck {
+        let is_overdue = engine
+            .loading_since
+            .is_some_and(|since| now.since(since) >= STUCK_AFTER_MS);
+        if is_overdue && !engine.stuck {
             engine.stuck = true;
             self.effects
                 .push(Effect::Report(Step::Stuck, name.to_owned()));
         }
-        if engine.phase == Phase::Resting && now >= engine.next {
+        if engine.phase == Phase::Waiting && now >= engine.next_read {
             engine.phase = Phase::Reading;
             self.effects.push(Effect::Read(name.to_owned()));
         }
     }
 
-    /// Gives an engine its next order, if it may have one now.
-    fn advance(&mut self, name: &str, lease: Lease) {
+    /// Sends an engine its next order, if it may get one now.
+    fn order_next(&mut self, name: &str, lease: Lease) {
         let Some(goal) = self.desired.goals.get(name).cloned() else {
             return;
         };
-        let Some(action) = self.due(name, &goal, lease) else {
+        let Some(action) = self.next_action(name, &goal, lease) else {
             return;
         };
         if matches!(action, Action::Load { .. }) {
             if !self.may_load(&goal) {
                 return;
             }
-            if self.would_empty(name) {
-                self.block(name);
+            if self.would_undershoot_minimum(name) {
+                self.report_blocked(name);
                 return;
             }
-            self.started = Some(self.now);
+            self.last_load_start = Some(self.now);
         }
-        self.orders += 1;
-        let id = format!("{}-{}", lease.fence, self.orders);
+        self.orders_sent += 1;
+        let id = format!("{}-{}", lease.fence, self.orders_sent);
         let now = self.now;
         if let Some(engine) = self.engines.get_mut(name) {
             engine.blocked = false;
-            engine.busy_since = matches!(action, Action::Load { .. }).then_some(now);
+            engine.loading_since = matches!(action, Action::Load { .. }).then_some(now);
             engine.phase = Phase::Ordering;
             engine.tries = engine.tries.max(1);
         }
-        self.tell(Step::Ordered, name);
+        self.report(Step::Ordered, name);
         self.effects.push(Effect::Order {
             action,
             fence: lease.fence,
@@ -362,69 +372,75 @@
         });
     }
 
-    /// Returns the next order that an engine needs, if its state is known and fresh.
-    fn due(&self, name: &str, goal: &Goal, lease: Lease) -> Option<Action> {
+    /// Returns the next action of an engine, if its state is known and fresh. For an engine that
+    /// does not check fencing tokens, the state must have been read after the previous controller's
+    /// calls have ended.
+    fn next_action(&self, name: &str, goal: &Goal, lease: Lease) -> Option<Action> {
         let engine = self.engines.get(name)?;
-        let standing = engine.standing.as_ref()?;
-        let settled = match goal.checks_fence {
+        let state = engine.state.as_ref()?;
+        let earliest_read = match goal.checks_fence {
             false => lease.since + 2 * CALL_TIMEOUT_MS,
             true => lease.since,
         };
-        let fresh = engine.at >= settled && self.now.since(engine.at) < READ_PERIOD_MS;
-        let ready = engine.phase == Phase::Resting && standing.loading.is_none();
-        (fresh && ready && self.now >= engine.held).then(|| goal.next_action(standing))?
+        let is_fresh =
+            engine.read_at >= earliest_read && self.now.since(engine.read_at) < READ_PERIOD_MS;
+        let is_ready = engine.phase == Phase::Waiting && state.loading.is_none();
+        (is_fresh && is_ready && self.now >= engine.not_before).then(|| goal.next_action(state))?
     }
 
-    /// Returns whether one more engine may load the model of `goal`.
+    /// Returns whether one more engine may start to load now, for `goal`.
     fn may_load(&self, goal: &Goal) -> bool {
-        let paced = |at: Instant| self.now.since(at) >= START_PERIOD_MS;
-        if !self.started.is_none_or(paced) {
+        let is_paced = |at: Instant| self.now.since(at) >= LOAD_START_PERIOD_MS;
+        if !self.last_load_start.is_none_or(is_paced) {
             return false;
         }
-        let unread = |e: &&Engine| e.standing.is_none() && e.at == Instant::default();
+        let is_unread = |e: &&Engine| e.state.is_none() && e.read_at == Instant::default();
         if self
             .engines
             .values()
-            .any(|e| unread(&e) && e.phase == Phase::Reading)
+            .any(|e| is_unread(&e) && e.phase == Phase::Reading)
         {
             return false;
         }
-        let loads = |engine: &&Engine| engine.busy_since.is_some() && !engine.stuck;
-        let loading = self.engines.values().filter(loads).count() as u64;
+        let counts_as_loading = |engine: &&Engine| engine.loading_since.is_some() && !engine.stuck;
+        let loading = self.engines.values().filter(counts_as_loading).count() as u64;
         loading < goal.load_limit
     }
 
-    /// Returns whether taking an engine would leave too few that serve its present model.
-    fn would_empty(&self, name: &str) -> bool {
-        let model = |engine: &Engine| engine.standing.as_ref().map(|s| s.model.clone());
-        let Some(present) = self.engines.get(name).and_then(model) else {
+    /// Returns whether taking an engine would leave fewer engines that serve its current model than
+    /// the table requires.
+    fn would_undershoot_minimum(&self, name: &str) -> bool {
+        let model = |engine: &Engine| engine.state.as_ref().map(|s| s.model.clone());
+        let Some(current) = self.engines.get(name).and_then(model) else {
             return true;
         };
-        let least = self.desired.minimum_serving(&present);
-        let fresh = |engine: &Engine| self.now.since(engine.at) <= FRESH_MS;
+        let minimum = self.desired.minimum_serving(&current);
+        let is_fresh = |engine: &Engine| self.now.since(engine.read_at) <= SERVING_FRESHNESS_MS;
         let serves = |engine: &&Engine| {
-            engine.busy_since.is_none() && fresh(engine) && model(engine).as_ref() == Some(&present)
+            engine.loading_since.is_none()
+                && is_fresh(engine)
+                && model(engine).as_ref() == Some(&current)
         };
         let serving = self.engines.values().filter(serves).count() as u64;
-        least > 0 && serving <= least
+        minimum > 0 && serving <= minimum
     }
 
-    fn block(&mut self, name: &str) {
+    fn report_blocked(&mut self, name: &str) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
         if !engine.blocked && self.desired.is_always_needed(name) {
             engine.blocked = true;
-            self.tell(Step::Blocked, name);
+            self.report(Step::Blocked, name);
         }
     }
 
-    fn tell(&mut self, step: Step, upstream: &str) {
+    fn report(&mut self, step: Step, upstream: &str) {
         self.effects.push(Effect::Report(step, upstream.to_owned()));
     }
 }
 
-fn backoff(tries: u32) -> u64 {
-    let doubled = BACKOFF_MS.saturating_mul(1 << tries.min(10));
-    doubled.min(BACKOFF_LIMIT_MS)
+fn backoff_ms(tries: u32) -> u64 {
+    let doubled = BACKOFF_BASE_MS.saturating_mul(1 << tries.min(10));
+    doubled.min(MAX_BACKOFF_MS)
 }
--- a/crates/hibiscushoistd/src/controller.rs
+++ b/crates/hibiscushoistd/src/controller.rs
@@ -155,11 +155,11 @@
         let client = self.client(&upstream, READ_LIMIT);
         let events = self.events.clone();
         tokio::spawn(async move {
-            let standing = match client {
+            let state = match client {
                 None => None,
                 Some(client) => client.standing().await.ok().map(read),
             };
-            let _ = events.send(Event::Read { standing, upstream }).await;
+            let _ = events.send(Event::Read { state, upstream }).await;
         });
     }
 
@@ -191,9 +191,7 @@
 
 fn reply(answer: &Result<engine::Standing, Error>) -> Reply {
     match answer {
-        Err(Error::Refused { refusal, .. }) if refusal.code == Code::StaleFence => {
-            Reply::StaleFence
-        }
+        Err(Error::Refused { refusal, .. }) if refusal.code == Code::StaleFence => Reply::Stale,
         Err(Error::Refused { .. }) => Reply::Refused,
         Err(_) => Reply::Unanswered,
         Ok(_) => Reply::Accepted,
