--- a/crates/coordination/src/order.rs
+++ b/crates/coordination/src/order.rs
@@ -185,12 +185,12 @@
 }
 
 impl Order {
-    /// Returns the order and what to do first; `owner` names this asking.
+    /// Returns the order and what to do first; `intent_id` identifies this request.
     pub fn new(
         now: Instant,
         key: CallKey,
         digest: Digest,
-        owner: u128,
+        intent_id: u128,
         deadline: Instant,
         policy: Policy,
     ) -> (Self, Effect) {
@@ -198,7 +198,7 @@
             digest,
             timeout_ms: deadline.since(now) + policy.grace,
             key,
-            intent_id: owner,
+            intent_id,
         };
         let order = Self {
             deadline,
--- a/crates/coordination/src/state_machine.rs
+++ b/crates/coordination/src/state_machine.rs
@@ -17,7 +17,7 @@
 use state::ledger;
 use state::ledger::Ledger;
 use state::routing;
-use state::routing::Held;
+use state::routing::RoutingState;
 use state::table;
 use state::table::Table;
 
@@ -100,7 +100,7 @@
     history: History,
     leases: Leases,
     ledger: Ledger,
-    routed: Arc<Held>,
+    routed: Arc<RoutingState>,
     table: Arc<Table>,
 }
 
@@ -132,8 +132,8 @@
             }
             Command::Weights { model, version } => {
                 let routed = Arc::make_mut(&mut self.routed);
-                routed.name_weights(model.clone(), *version);
-                Answer::Weights(routed.weights[model])
+                routed.raise_weights_version(model.clone(), *version);
+                Answer::Weights(routed.weights_versions[model])
             }
         }
     }
@@ -168,7 +168,7 @@
     }
 
     /// Returns the routed table and the weights versions.
-    pub fn routed(&self) -> &Arc<Held> {
+    pub fn routed(&self) -> &Arc<RoutingState> {
         &self.routed
     }
 
--- a/crates/coordination/tests/faults.rs
+++ b/crates/coordination/tests/faults.rs
@@ -252,7 +252,7 @@
     Finish,
 }
 
-fn begin(owner: u128) -> Command {
+fn begin(intent_id: u128) -> Command {
     Command::Begin(Intent {
         digest: Digest::of(&[b"book"]),
         timeout_ms: HOLD,
@@ -260,7 +260,7 @@
             idempotency: "k".to_owned(),
             workspace: "w".to_owned(),
         },
-        intent_id: owner,
+        intent_id,
     })
 }
 
--- a/crates/coordination/tests/machine.rs
+++ b/crates/coordination/tests/machine.rs
@@ -83,7 +83,7 @@
             sheet: Sheet::Models,
         },
     });
-    let begin = |owner| {
+    let begin = |intent_id| {
         Command::Begin(Intent {
             digest: Digest::of(&[b"body"]),
             timeout_ms: 1_000,
@@ -91,7 +91,7 @@
                 idempotency: "k".to_owned(),
                 workspace: "w".to_owned(),
             },
-            intent_id: owner,
+            intent_id,
         })
     };
     let mut machine = StateMachine::default();
--- a/crates/hibiscushoistd/src/gateway_place.rs
+++ b/crates/hibiscushoistd/src/gateway_place.rs
@@ -109,7 +109,7 @@
 /// Returns whether a request may wait for room any longer.
 fn waits(context: &Context, routed: &Routed) -> bool {
     let waited = context.clock.now().since(routed.arrived);
-    waited < routed.route.goal_ms * WAIT_GOALS
+    waited < routed.route.first_byte_goal_ms * WAIT_GOALS
 }
 
 fn demand(context: &Context, gateway: &Gateway, routed: &Routed, progress: &Progress) -> Demand {
@@ -130,7 +130,7 @@
         domain: context.settings.failure_domain.clone(),
         exact_weights: progress.exact_weights,
         draw: rand::random(),
-        goal_ms: routed.route.goal_ms.saturating_sub(waited),
+        goal_ms: routed.route.first_byte_goal_ms.saturating_sub(waited),
         left_ms: routed.left_ms(now),
         memory_tokens: service.and_then(|service| service.memory_tokens),
         newest: newest.copied().unwrap_or_default(),
--- a/crates/hibiscushoistd/src/gateway_run.rs
+++ b/crates/hibiscushoistd/src/gateway_run.rs
@@ -130,7 +130,7 @@
     let now = context.clock.now();
     let mut moved = progress.clone();
     moved.tried.push(upstream.to_owned());
-    progress.attempts + 1 < routed.route.attempts
+    progress.attempts + 1 < routed.route.attempt_limit
         && gateway
             .retries()
             .can_retry(now, &routed.service, &routed.service)
@@ -232,7 +232,7 @@
     reason: retry::Reason,
 ) -> Result<(), Failure> {
     let ended = failure(routed, context, progress);
-    if progress.attempts >= routed.route.attempts || progress.rejections >= REJECTIONS {
+    if progress.attempts >= routed.route.attempt_limit || progress.rejections >= REJECTIONS {
         return Err(ended);
     }
     let unsent = reason == retry::Reason::Connect;
--- a/crates/hibiscushoistd/src/gateway_stream.rs
+++ b/crates/hibiscushoistd/src/gateway_stream.rs
@@ -147,7 +147,7 @@
     async fn pass(&mut self, progress: &Progress, answered: Answered) -> End {
         let upstream = answered.choice.upstream.id.clone();
         let (mut body, lane, keep, underway) = answered.into_stream();
-        let gap = Duration::from_millis(self.routed.route.gap_ms);
+        let gap = Duration::from_millis(self.routed.route.max_event_gap_ms);
         let silent = SILENT.max(gap * SILENT_GAPS);
         let mut pause = silent;
         loop {
--- a/crates/hibiscushoistd/src/outlook.rs
+++ b/crates/hibiscushoistd/src/outlook.rs
@@ -17,7 +17,7 @@
 use coordination::prefix_log::Position;
 use coordination::upstream::Fleet;
 use protocol::voter::Rejection;
-use state::routing_index::Index;
+use state::routing_index::RoutingIndex;
 use transport::event;
 use transport::event::Event;
 use transport::metric;
@@ -39,7 +39,7 @@
     /// Lists the upstreams.
     pub fleet: Arc<Fleet>,
     /// Holds the routed table.
-    pub index: Arc<Index>,
+    pub index: Arc<RoutingIndex>,
     /// Gives the newest weights version of each model.
     pub weights: BTreeMap<String, u64>,
 }
@@ -229,7 +229,7 @@
         }
         self.publish.send_replace(Arc::new(Known {
             fleet: fleet.map_or_else(|| known.fleet.clone(), Arc::new),
-            index: table.map_or_else(|| known.index.clone(), |t| Arc::new(Index::new(t))),
+            index: table.map_or_else(|| known.index.clone(), |t| Arc::new(RoutingIndex::new(t))),
             weights: outlook.weights,
         }));
     }
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -162,7 +162,7 @@
             loads,
             mark,
             table: (table.version > ask.version).then(|| table.clone()),
-            weights: reading.routed.weights.clone(),
+            weights: reading.routed.weights_versions.clone(),
         })
     }
 
--- a/crates/hibiscushoistd/src/steward.rs
+++ b/crates/hibiscushoistd/src/steward.rs
@@ -104,7 +104,7 @@
         let Some(reading) = steward.lead().await else {
             continue;
         };
-        steward.name(&reading.routed.weights);
+        steward.name(&reading.routed.weights_versions);
         let now = steward.context.clock.now();
         if now >= list_due {
             list_due = now + LIST_PERIOD_MS;
--- a/crates/hibiscushoistd/src/voter_call.rs
+++ b/crates/hibiscushoistd/src/voter_call.rs
@@ -17,7 +17,7 @@
 use protocol::voter::Packet;
 use protocol::voter::Rejection;
 use protocol::voter::Spread;
-use state::routing::Held;
+use state::routing::RoutingState;
 use state::table::Table;
 
 /// Takes the answer to a call.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct Reading {
     /// Holds the routed table and the weights versions.
-    pub routed: Arc<Held>,
+    pub routed: Arc<RoutingState>,
     /// Holds the table.
     pub table: Arc<Table>,
     /// Gives the term in which this voter leads.
--- a/crates/hibiscushoistd/tests/pages.rs
+++ b/crates/hibiscushoistd/tests/pages.rs
@@ -219,10 +219,7 @@
         ValueType::Flag => "true or false".to_owned(),
         ValueType::Hash => "64 hexadecimal digits".to_owned(),
         ValueType::Name => "a name".to_owned(),
-        ValueType::Number {
-            min: least,
-            max: most,
-        } => format!("{least} to {most}"),
+        ValueType::Number { min, max } => format!("{min} to {max}"),
     }
 }
 #[test]
--- a/crates/state/src/routing.rs
+++ b/crates/state/src/routing.rs
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Route {
     /// Bounds the upstreams on which a request may run.
-    pub attempts: u32,
+    pub attempt_limit: u32,
     /// Gives the longest pause between events of an answer that is on time, in milliseconds.
-    pub gap_ms: u64,
+    pub max_event_gap_ms: u64,
     /// Gives the time to the first byte of an answer that is on time, in milliseconds.
-    pub goal_ms: u64,
+    pub first_byte_goal_ms: u64,
     /// Names the host that callers ask for.
     pub host: String,
     /// Tells what may be repeated.
@@ -110,10 +110,10 @@
 
 /// Tells why a table cannot come into force.
 #[derive(Clone, Debug, Error, Eq, PartialEq)]
-pub enum Fault {
+pub enum TableError {
     /// Reports a key that two workspaces hold.
     #[error("workspaces `{first}` and `{second}` share a key")]
-    Key {
+    DuplicateKey {
         /// Names one workspace.
         first: String,
         /// Names the other.
@@ -121,7 +121,7 @@
     },
     /// Reports two routes for the same requests.
     #[error("two routes have host `{host}` and prefix `{prefix}`")]
-    Place {
+    DuplicateRoute {
         /// Names the host.
         host: String,
         /// Gives the prefix.
@@ -129,7 +129,7 @@
     },
     /// Reports a target that does not exist.
     #[error("route `{prefix}` names the unknown service `{service}`")]
-    Service {
+    UnknownService {
         /// Gives the prefix of the route.
         prefix: String,
         /// Names the service.
@@ -137,13 +137,13 @@
     },
     /// Reports a route that no request could ever be served by.
     #[error("route `{prefix}` has a timeout of 0 ms")]
-    Timeout {
+    ZeroTimeout {
         /// Gives the prefix of the route.
         prefix: String,
     },
     /// Reports a route whose weights add up to nothing.
     #[error("the weights of route `{prefix}` add up to 0")]
-    Weight {
+    ZeroWeight {
         /// Gives the prefix of the route.
         prefix: String,
     },
@@ -168,13 +168,13 @@
     /// # Errors
     ///
     /// Returns the first fault found.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), TableError> {
         let services: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
-        let mut places = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for route in &self.routes {
             route.check(&services)?;
-            if !places.insert((&route.host, &route.prefix)) {
-                return Err(Fault::Place {
+            if !seen.insert((&route.host, &route.prefix)) {
+                return Err(TableError::DuplicateRoute {
                     host: route.host.clone(),
                     prefix: route.prefix.clone(),
                 });
@@ -183,9 +183,9 @@
         let mut holders: BTreeMap<&[u8; 32], &str> = BTreeMap::new();
         for workspace in &self.workspaces {
             for key in &workspace.keys {
-                let held = holders.insert(key, &workspace.name);
-                if let Some(first) = held.filter(|first| *first != workspace.name) {
-                    return Err(Fault::Key {
+                let previous = holders.insert(key, &workspace.name);
+                if let Some(first) = previous.filter(|first| *first != workspace.name) {
+                    return Err(TableError::DuplicateKey {
                         first: first.to_owned(),
                         second: workspace.name.clone(),
                     });
@@ -197,7 +197,7 @@
 }
 
 impl Route {
-    fn check(&self, services: &BTreeSet<&str>) -> Result<(), Fault> {
+    fn check(&self, services: &BTreeSet<&str>) -> Result<(), TableError> {
         let prefix = self.prefix.clone();
         let unknown = self
             .targets
@@ -205,14 +205,14 @@
             .find(|target| !services.contains(target.service.as_str()));
         if let Some(target) = unknown {
             let service = target.service.clone();
-            return Err(Fault::Service { prefix, service });
+            return Err(TableError::UnknownService { prefix, service });
         }
         let weight: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
         if weight == 0 {
-            return Err(Fault::Weight { prefix });
+            return Err(TableError::ZeroWeight { prefix });
         }
         match self.timeout_ms {
-            0 => Err(Fault::Timeout { prefix }),
+            0 => Err(TableError::ZeroTimeout { prefix }),
             _ => Ok(()),
         }
     }
@@ -220,16 +220,16 @@
 
 /// Holds the routed state that the log replicates.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Held {
+pub struct RoutingState {
     /// Holds the operator's text of the table, for operators who read it back.
     pub source: Arc<String>,
     /// Holds the table in force.
     pub table: Arc<Table>,
     /// Gives the newest weights version of each model.
-    pub weights: BTreeMap<String, u64>,
+    pub weights_versions: BTreeMap<String, u64>,
 }
 
-impl Held {
+impl RoutingState {
     /// Takes a table unless the one in force is as new, and returns whether it took it.
     pub fn replace(&mut self, source: Arc<String>, table: Arc<Table>) -> bool {
         let newer = table.version > self.table.version;
@@ -241,8 +241,8 @@
     }
 
     /// Names the weights version that engines of `model` should have; an older one changes nothing.
-    pub fn name_weights(&mut self, model: impl Into<String>, version: u64) {
-        let newest = self.weights.entry(model.into()).or_default();
+    pub fn raise_weights_version(&mut self, model: impl Into<String>, version: u64) {
+        let newest = self.weights_versions.entry(model.into()).or_default();
         *newest = version.max(*newest);
     }
 }
--- a/crates/state/src/routing_index.rs
+++ b/crates/state/src/routing_index.rs
@@ -10,28 +10,28 @@
 
 /// Holds a routed table with what is needed to look things up in it.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct RoutingIndex {
     keys: HashMap<[u8; 32], usize>,
     routes: HashMap<String, Vec<usize>>,
     services: HashMap<String, usize>,
     table: Arc<Table>,
 }
 
-impl Index {
+impl RoutingIndex {
     /// Returns an index of `table`.
     pub fn new(table: Arc<Table>) -> Self {
         let mut routes: HashMap<String, Vec<usize>> = HashMap::new();
-        for (place, route) in table.routes.iter().enumerate() {
+        for (index, route) in table.routes.iter().enumerate() {
             let host = route.host.to_ascii_lowercase();
-            routes.entry(host).or_default().push(place);
+            routes.entry(host).or_default().push(index);
         }
-        for places in routes.values_mut() {
-            places.sort_by_key(|place| std::cmp::Reverse(table.routes[*place].prefix.len()));
+        for indices in routes.values_mut() {
+            indices.sort_by_key(|index| std::cmp::Reverse(table.routes[*index].prefix.len()));
         }
         let workspaces = table.workspaces.iter().enumerate();
-        let keys = workspaces.flat_map(|(place, w)| w.keys.iter().map(move |key| (*key, place)));
+        let keys = workspaces.flat_map(|(index, w)| w.keys.iter().map(move |key| (*key, index)));
         let services = table.services.iter().enumerate();
-        let services = services.map(|(place, service)| (service.name.clone(), place));
+        let services = services.map(|(index, service)| (service.name.clone(), index));
         Self {
             keys: keys.collect(),
             routes,
@@ -43,18 +43,18 @@
     /// Returns the route with the longest prefix of `path` under `host`.
     pub fn route(&self, host: impl AsRef<str>, path: impl AsRef<str>) -> Option<&Route> {
         let host = host.as_ref();
-        let places = match self.routes.get(host) {
+        let indices = match self.routes.get(host) {
             None => self.routes.get(&host.to_ascii_lowercase())?,
-            Some(places) => places,
+            Some(indices) => indices,
         };
-        let mut routes = places.iter().map(|place| &self.table.routes[*place]);
+        let mut routes = indices.iter().map(|index| &self.table.routes[*index]);
         routes.find(|route| path.as_ref().starts_with(&route.prefix))
     }
 
     /// Returns the service of that name.
     pub fn service(&self, name: impl AsRef<str>) -> Option<&Service> {
-        let place = self.services.get(name.as_ref())?;
-        Some(&self.table.services[*place])
+        let index = self.services.get(name.as_ref())?;
+        Some(&self.table.services[*index])
     }
 
     /// Returns the table.
@@ -65,7 +65,7 @@
     /// Returns the workspace that holds `key`.
     pub fn workspace(&self, key: impl AsRef<[u8]>) -> Option<&Workspace> {
         let hash = *blake3::hash(key.as_ref()).as_bytes();
-        let place = self.keys.get(&hash)?;
-        Some(&self.table.workspaces[*place])
+        let index = self.keys.get(&hash)?;
+        Some(&self.table.workspaces[*index])
     }
 }
--- a/crates/state/tests/routing.rs
+++ b/crates/state/tests/routing.rs
@@ -4,21 +4,21 @@
 
 use assert_matches::assert_matches;
 
-use state::routing::Fault;
-use state::routing::Held;
 use state::routing::Kind;
 use state::routing::Route;
+use state::routing::RoutingState;
 use state::routing::Service;
 use state::routing::Table;
+use state::routing::TableError;
 use state::routing::Target;
 use state::routing::Workspace;
-use state::routing_index::Index;
+use state::routing_index::RoutingIndex;
 
 fn route(host: &str, prefix: &str) -> Route {
     Route {
-        attempts: 2,
-        gap_ms: 400,
-        goal_ms: 1_000,
+        attempt_limit: 2,
+        max_event_gap_ms: 400,
+        first_byte_goal_ms: 1_000,
         host: host.to_owned(),
         kind: Kind::Stream,
         prefix: prefix.to_owned(),
@@ -66,24 +66,24 @@
 fn each_fault_is_named() {
     let mut unknown = table(1);
     unknown.routes[0].targets[0].service = "gone".to_owned();
-    assert_matches!(unknown.check(), Err(Fault::Service { .. }));
+    assert_matches!(unknown.check(), Err(TableError::UnknownService { .. }));
     let mut twice = table(1);
     twice.routes[1].prefix = "/a/".to_owned();
-    assert_matches!(twice.check(), Err(Fault::Place { .. }));
+    assert_matches!(twice.check(), Err(TableError::DuplicateRoute { .. }));
     let mut weightless = table(1);
     weightless.routes[0].targets[0].weight = 0;
-    assert_matches!(weightless.check(), Err(Fault::Weight { .. }));
+    assert_matches!(weightless.check(), Err(TableError::ZeroWeight { .. }));
     let mut timeless = table(1);
     timeless.routes[0].timeout_ms = 0;
-    assert_matches!(timeless.check(), Err(Fault::Timeout { .. }));
+    assert_matches!(timeless.check(), Err(TableError::ZeroTimeout { .. }));
     let mut shared = table(1);
     shared.workspaces[1].keys = shared.workspaces[0].keys.clone();
-    assert_matches!(shared.check(), Err(Fault::Key { .. }));
+    assert_matches!(shared.check(), Err(TableError::DuplicateKey { .. }));
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_is_found() {
-    let index = Index::new(Arc::new(table(1)));
+    let index = RoutingIndex::new(Arc::new(table(1)));
     let prefix = |host: &str, path: &str| index.route(host, path).map(|r| r.prefix.clone());
     assert_eq!(prefix("h.example", "/a/x"), Some("/a/".to_owned()));
     assert_eq!(prefix("H.Example", "/a/b/x"), Some("/a/b/".to_owned()));
@@ -93,14 +93,14 @@
 
 #[test]
 fn a_key_belongs_to_one_workspace() {
-    let index = Index::new(Arc::new(table(1)));
+    let index = RoutingIndex::new(Arc::new(table(1)));
     assert_eq!(index.workspace("k2").map(|w| w.name.as_str()), Some("w2"));
     assert!(index.workspace("k3").is_none());
 }
 
 #[test]
 fn only_a_higher_version_replaces_a_table() {
-    let mut held = Held::default();
+    let mut held = RoutingState::default();
     let source = |text: &str| Arc::new(text.to_owned());
     assert!(held.replace(source("two"), Arc::new(table(2))));
     assert!(!held.replace(source("other"), Arc::new(table(2))));
@@ -112,8 +112,8 @@
 
 #[test]
 fn weights_never_go_back() {
-    let mut held = Held::default();
-    held.name_weights("m", 2);
-    held.name_weights("m", 1);
-    assert_eq!(held.weights["m"], 2);
+    let mut held = RoutingState::default();
+    held.raise_weights_version("m", 2);
+    held.raise_weights_version("m", 1);
+    assert_eq!(held.weights_versions["m"], 2);
 }
