--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -11,65 +11,69 @@
 
 use state::time::Instant;
 
-/// Bounds how far the rate of any clock may be off, in parts per thousand.
+/// Maximum error of the rate of any clock, in parts per thousand.
 pub const MAX_CLOCK_DRIFT_PERMILLE: u64 = 10;
 
-/// Returns how much of `millis` a clock may count while any other clock counts no more than it.
-pub fn shorten_for_clock_drift(millis: u64) -> u64 {
-    millis.saturating_mul(1000 - MAX_CLOCK_DRIFT_PERMILLE) / (1000 + MAX_CLOCK_DRIFT_PERMILLE)
+/// Returns the longest time that one clock may measure while no other clock measures more than
+/// `duration_ms`, if the rate of both is off by at most [`MAX_CLOCK_DRIFT_PERMILLE`].
+pub fn shorten_for_clock_drift(duration_ms: u64) -> u64 {
+    duration_ms.saturating_mul(1000 - MAX_CLOCK_DRIFT_PERMILLE) / (1000 + MAX_CLOCK_DRIFT_PERMILLE)
 }
 
-/// Asks for a lease, for its renewal or for its end.
+/// Request to acquire, renew or release a lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Request {
-    /// Gives how long it should last, in milliseconds; 0 ends it.
+    /// Duration of the lease, in milliseconds; 0 releases it.
     pub duration_ms: u64,
-    /// Names the asker and its run, so that a restart counts as another holder.
+    /// Name of the requester and of its run, so that a restarted process counts as another holder.
     pub holder: String,
-    /// Names the lease.
+    /// Name of the lease.
     pub name: String,
 }
 
-/// Answers a [`Request`].
+/// Answer to a [`Request`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Answer {
-    /// Grants the lease.
+    /// The requester holds the lease.
     Granted(Grant),
-    /// Names the present holder and its fencing number.
+    /// Another holder has the lease.
     Held {
-        /// Holds the fencing number.
+        /// Fencing token of that holder.
         fence: u64,
-        /// Names the holder.
+        /// Name of that holder.
         holder: String,
     },
-    /// Confirms that the asker does not hold the lease.
+    /// The requester does not hold the lease any more.
     Released,
 }
 
-/// Describes a lease to its holder.
+/// A lease as its holder sees it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Grant {
-    /// Gives how long it lasts, in milliseconds of the log's time.
+    /// Duration of the lease, in milliseconds of log time.
     pub duration_ms: u64,
-    /// Holds the fencing number, greater than that of any earlier holder.
+    /// Fencing token, greater than that of any earlier holder of any lease.
     pub fence: u64,
 }
 
 impl Grant {
-    /// Returns when the holder must stop, on its own clock that read `asked` before it asked.
-    pub fn expires_at(&self, asked: Instant) -> Instant {
-        asked + shorten_for_clock_drift(self.duration_ms)
+    /// Returns the time on the holder's clock at which it must stop acting under the lease.
+    ///
+    /// `requested_at` is a time on the same clock from before the request was sent.
+    pub fn expires_at(&self, requested_at: Instant) -> Instant {
+        requested_at + shorten_for_clock_drift(self.duration_ms)
     }
 }
 
+/// A lease as the replicated log records it; it expires at a log time.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Held {
     fence: u64,
     holder: String,
-    until: u64,
+    expires_at_ms: u64,
 }
 
-/// Holds all leases.
+/// All leases, and the newest fencing token.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Leases {
     fence: u64,
@@ -77,46 +81,48 @@
 }
 
 impl Leases {
-    /// Grants, renews, ends or refuses a lease at the log's time `now`.
-    pub fn request(&mut self, now: u64, ask: &Request) -> Answer {
-        self.held.retain(|_, held| held.until > now);
-        match self.held.get_mut(&ask.name) {
-            Some(held) if held.holder != ask.holder => Answer::Held {
+    /// Grants, renews, releases or refuses a lease at the log time `now`.
+    pub fn request(&mut self, now: u64, request: &Request) -> Answer {
+        self.held.retain(|_, held| held.expires_at_ms > now);
+        match self.held.get_mut(&request.name) {
+            Some(held) if held.holder != request.holder => Answer::Held {
                 fence: held.fence,
                 holder: held.holder.clone(),
             },
-            Some(_) if ask.duration_ms == 0 => {
-                self.held.remove(&ask.name);
+            Some(_) if request.duration_ms == 0 => {
+                self.held.remove(&request.name);
                 Answer::Released
             }
-            None if ask.duration_ms == 0 => Answer::Released,
+            None if request.duration_ms == 0 => Answer::Released,
             Some(held) => {
-                held.until = held.until.max(now.saturating_add(ask.duration_ms));
+                held.expires_at_ms = held
+                    .expires_at_ms
+                    .max(now.saturating_add(request.duration_ms));
                 Answer::Granted(Grant {
-                    duration_ms: ask.duration_ms,
+                    duration_ms: request.duration_ms,
                     fence: held.fence,
                 })
             }
-            None => Answer::Granted(self.grant(now, ask)),
+            None => Answer::Granted(self.grant(now, request)),
         }
     }
 
-    /// Returns the holder of the lease `name` and its fencing number at the log's time `now`.
+    /// Returns the holder of the lease `name` and its fencing token at the log time `now`.
     pub fn holder(&self, now: u64, name: impl AsRef<str>) -> Option<(&str, u64)> {
         let held = self.held.get(name.as_ref())?;
-        (held.until > now).then_some((held.holder.as_str(), held.fence))
+        (held.expires_at_ms > now).then_some((held.holder.as_str(), held.fence))
     }
 
-    fn grant(&mut self, now: u64, ask: &Request) -> Grant {
+    fn grant(&mut self, now: u64, request: &Request) -> Grant {
         self.fence += 1;
         let held = Held {
             fence: self.fence,
-            holder: ask.holder.clone(),
-            until: now.saturating_add(ask.duration_ms),
+            holder: request.holder.clone(),
+            expires_at_ms: now.saturating_add(request.duration_ms),
         };
-        self.held.insert(ask.name.clone(), held);
+        self.held.insert(request.name.clone(), held);
         Grant {
-            duration_ms: ask.duration_ms,
+            duration_ms: request.duration_ms,
             fence: self.fence,
         }
     }
--- a/crates/coordination/src/quorum.rs
+++ b/crates/coordination/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Who holds the replicated log and whose agreement commits an entry.
+//! Membership of a Raft group, and the majority of its voters that commits an entry.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Identifies one data folder for its whole life; an empty disk brings another identity.
+/// Id of a member; it belongs to one data folder, so a member with an empty disk has another id.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -20,63 +20,63 @@
     }
 }
 
-/// Describes one holder of the log.
+/// One member of the group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Holds the address that the others connect to.
+    /// Address that the other members connect to.
     pub address: SocketAddr,
-    /// Names the host.
+    /// Name of its host.
     pub name: String,
-    /// Tells whether it votes; a learner only receives.
+    /// Whether it votes; a learner only receives entries.
     pub votes: bool,
 }
 
-/// Asks for a change of one member.
+/// Membership change of one member.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Change {
-    /// Adds a learner.
+    /// Adds a member as a learner.
     Add(MemberId, Member),
-    /// Lets a learner vote.
+    /// Makes a learner a voter.
     Promote(MemberId),
     /// Removes a learner or a voter.
     Remove(MemberId),
 }
 
-/// Tells why a change is refused.
+/// Reason why a membership change is refused.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
 pub enum Error {
-    /// Reports a learner that lacks entries or was not heard from lately.
-    #[error("{0} has not caught up yet")]
+    /// The learner lacks committed entries or has not answered lately.
+    #[error("learner {0} has not caught up yet")]
     Behind(MemberId),
-    /// Reports that an earlier change is not committed yet.
-    #[error("an earlier change of the voters is not committed yet")]
+    /// An earlier change, or the first entry of the leader's term, is not committed yet.
+    #[error("an earlier membership change is not committed yet")]
     ChangePending,
-    /// Reports a removal that would leave no voter.
-    #[error("{0} is the last voter")]
+    /// The removal would leave no voter.
+    #[error("member {0} is the last voter")]
     LastVoter(MemberId),
-    /// Reports an identity that is already a member.
+    /// The id is already a member.
     #[error("{0} is already a member")]
     MemberExists(MemberId),
-    /// Reports an identity that is no member, or no learner where one is needed.
-    #[error("{0} is no member that this change could apply to")]
+    /// The id is not a member, or not a learner where the change needs one.
+    #[error("{0} is not a member that this change applies to")]
     UnknownMember(MemberId),
 }
 
-/// Lists the holders of the log.
+/// Membership of the group.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Config {
-    /// Identifies the group by its first voter, so that two groups never mix.
+    /// Id of the group, which is that of its first voter; messages of other groups are dropped.
     pub group: MemberId,
-    /// Holds the members.
+    /// Voters and learners by id.
     pub members: BTreeMap<MemberId, Member>,
 }
 
 impl Config {
-    /// Returns the members after `change`.
+    /// Returns the membership after `change`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the change does not fit the members.
+    /// Returns an error when the change does not apply to the present members.
     pub fn with_change(&self, change: &Change) -> Result<Self, Error> {
         let mut config = self.clone();
         match change {
@@ -104,7 +104,7 @@
         Ok(config)
     }
 
-    /// Returns the greatest value that a majority of the voters has reached.
+    /// Returns the greatest value that a majority of the voters has at least reached.
     pub fn majority_value<T: Ord + Default>(&self, value: impl Fn(MemberId) -> T) -> T {
         let mut values: Vec<T> = self.voters().map(value).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
@@ -112,18 +112,18 @@
         values.into_iter().nth(majority).unwrap_or_default()
     }
 
-    /// Returns whether `agrees` holds for a majority of the voters.
-    pub fn has_majority(&self, agrees: impl Fn(MemberId) -> bool) -> bool {
-        self.majority_value(agrees)
+    /// Returns whether `predicate` holds for a majority of the voters.
+    pub fn has_majority(&self, predicate: impl Fn(MemberId) -> bool) -> bool {
+        self.majority_value(predicate)
     }
 
-    /// Iterates over the members that vote.
+    /// Returns the ids of the members that vote.
     pub fn voters(&self) -> impl Iterator<Item = MemberId> {
         let voting = |(identity, member): (&MemberId, &Member)| member.votes.then_some(*identity);
         self.members.iter().filter_map(voting)
     }
 
-    /// Returns whether `identity` votes.
+    /// Returns whether `identity` is a member that votes.
     pub fn is_voter(&self, identity: MemberId) -> bool {
         self.members.get(&identity).is_some_and(|m| m.votes)
     }
--- a/crates/coordination/src/raft_leader_state.rs
+++ b/crates/coordination/src/raft_leader_state.rs
@@ -14,8 +14,8 @@
 /// A read that waits for its index to be committed and for a majority to confirm the leader.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
-    /// Index that must be committed first: the commit index at the time of the request, or the first
-    /// index of the term if that is greater.
+    /// Index that must be committed first: the commit index at the time of the request, or the
+    /// first index of the term if that is greater.
     pub(crate) index: u64,
     /// Heartbeat round that a majority must answer first; 0 under a lease.
     pub(crate) round: u64,
--- a/crates/coordination/src/state_machine.rs
+++ b/crates/coordination/src/state_machine.rs
@@ -1,7 +1,7 @@
-//! The state machine that the replicated log drives: table, ledger and leases.
+//! The replicated state machine: configuration table, ledger of calls and leases.
 //!
-//! A snapshot holds all of it at one index, with the answers that suppress duplicates, so that a
-//! voter restored from it treats a resent command as any other voter does.
+//! A snapshot holds all of it as of one index, with the stored answers that suppress duplicates, so
+//! that a voter restored from it answers a resent command as any other voter does.
 
 use std::sync::Arc;
 
@@ -21,60 +21,60 @@
 use state::table;
 use state::table::Table;
 
-/// Asks for one change of the replicated state.
+/// One change of the replicated state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Command {
-    /// Records that a call is about to be sent.
+    /// Records that a call is about to be sent to an upstream.
     Begin(ledger::Intent),
     /// Changes the table.
     Edit(Edit),
     /// Records how a call ended.
     Finish(ledger::Report),
-    /// Asks for a lease.
+    /// Acquires, renews or releases a lease.
     Lease(lease::Request),
-    /// Replaces the routed table unless the one in force is as new.
+    /// Replaces the table of routed services unless the version in force is at least as new.
     Route {
-        /// Holds the operator's text of it.
+        /// The operator's text of the table.
         source: Arc<String>,
-        /// Holds the table.
+        /// The parsed table.
         table: Arc<routing::Table>,
     },
-    /// Names the weights version that engines of a model should have.
+    /// Sets the weights version that the engines of a model should load.
     Weights {
-        /// Names the model.
+        /// Name of the model.
         model: String,
-        /// Gives the version.
+        /// Version of the weights.
         version: u64,
     },
 }
 
-/// Answers a [`Command`].
+/// Answer to a [`Command`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Answer {
-    /// Answers [`Command::Begin`].
+    /// Answer to [`Command::Begin`].
     Begin(ledger::Decision),
-    /// Answers [`Command::Edit`].
+    /// Answer to [`Command::Edit`].
     Edit(Result<Receipt, table::Error>),
-    /// Answers [`Command::Finish`].
+    /// Answer to [`Command::Finish`].
     Finish(ledger::Settlement),
-    /// Answers [`Command::Lease`].
+    /// Answer to [`Command::Lease`].
     Lease(lease::Answer),
-    /// Answers [`Command::Route`] with the version in force.
+    /// Answer to [`Command::Route`]: the version in force.
     Route(u64),
-    /// Answers [`Command::Weights`] with the newest version of the model.
+    /// Answer to [`Command::Weights`]: the newest version of the model.
     Weights(u64),
 }
 
-/// Tells why bytes are no command or no snapshot.
+/// Failure to encode or decode a command or a snapshot.
 #[derive(Clone, Debug, Error)]
 pub enum Error {
-    /// Reports bytes that do not decode.
-    #[error("cannot decode replicated state: {0}")]
+    /// The serialization failed.
+    #[error("cannot encode or decode replicated state: {0}")]
     Codec(#[from] postcard::Error),
 }
 
 impl Command {
-    /// Reads a command from a log entry.
+    /// Decodes a command from the bytes of a log entry.
     ///
     /// # Errors
     ///
@@ -83,7 +83,7 @@
         Ok(postcard::from_bytes(bytes.as_ref())?)
     }
 
-    /// Returns the bytes of a log entry.
+    /// Encodes a command as the bytes of a log entry.
     ///
     /// # Errors
     ///
@@ -93,7 +93,7 @@
     }
 }
 
-/// Holds the replicated state.
+/// The replicated state; every voter applies the same commands to it in the same order.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StateMachine {
     clock: u64,
@@ -105,7 +105,7 @@
 }
 
 impl StateMachine {
-    /// Returns an empty machine whose ledger keeps to `limits`.
+    /// Returns an empty state machine whose ledger has the given limits.
     pub fn new(limits: ledger::Limits) -> Self {
         Self {
             ledger: Ledger::new(limits),
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Applies one command that the leader stamped with the log's time `at`.
-    pub fn apply(&mut self, at: u64, command: &Command) -> Answer {
-        self.clock = self.clock.max(at);
+    /// Applies one command that the leader stamped with `log_time_ms`.
+    pub fn apply(&mut self, log_time_ms: u64, command: &Command) -> Answer {
+        self.clock = self.clock.max(log_time_ms);
         let now = self.clock;
         match command {
             Command::Begin(intent) => Answer::Begin(self.ledger.begin(now, intent)),
@@ -124,7 +124,7 @@
                 Answer::Edit(self.history.apply(now, table, edit))
             }
             Command::Finish(report) => Answer::Finish(self.ledger.finish(now, report)),
-            Command::Lease(ask) => Answer::Lease(self.leases.request(now, ask)),
+            Command::Lease(request) => Answer::Lease(self.leases.request(now, request)),
             Command::Route { source, table } => {
                 let routed = Arc::make_mut(&mut self.routed);
                 routed.replace(source.clone(), table.clone());
@@ -138,27 +138,27 @@
         }
     }
 
-    /// Returns the log's time of the newest command.
+    /// Returns the log time of the newest command, in milliseconds.
     pub fn clock(&self) -> u64 {
         self.clock
     }
 
-    /// Returns who changed what.
+    /// Returns the recorded edits of the table.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Returns the leases.
+    /// Returns the leases and their holders.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Returns the ledger.
+    /// Returns the ledger of calls.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Returns a machine from the bytes of a snapshot.
+    /// Decodes a state machine from the bytes of a snapshot.
     ///
     /// # Errors
     ///
@@ -167,12 +167,12 @@
         Ok(postcard::from_bytes(bytes.as_ref())?)
     }
 
-    /// Returns the routed table and the weights versions.
+    /// Returns the table of routed services and the weights versions.
     pub fn routed(&self) -> &Arc<RoutingState> {
         &self.routed
     }
 
-    /// Returns the bytes of a snapshot.
+    /// Encodes the state machine as the bytes of a snapshot.
     ///
     /// # Errors
     ///
@@ -181,7 +181,7 @@
         Ok(postcard::to_stdvec(self)?)
     }
 
-    /// Returns the table.
+    /// Returns the configuration table.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
