--- a/crates/coordination/examples/assign_slope.rs
+++ b/crates/coordination/examples/assign_slope.rs
@@ -38,7 +38,7 @@
         for ask in 0..ASKS {
             let now = time::Instant(ask * 10);
             if let Ok(choice) = desk.assign(now, &fleet, &loads, demand(ask)) {
-                covered.extend(choice.grant);
+                covered.extend(choice.assignment_id);
                 let told = cached_prefix(ask, choice.upstream.id);
                 if ask % HOSTS == 0 {
                     desk.reported(now, &std::mem::take(&mut covered), &[told]);
@@ -73,7 +73,7 @@
 
 fn loads(engines: usize) -> UpstreamLoads {
     let load = |engine: usize| UpstreamLoad {
-        long_tokens: 17_000,
+        long_prompt_tokens: 17_000,
         last_byte_age_ms: None,
         running: 12,
         pending_prefill_tokens: (engine as u64 % 7) * 3_000,
@@ -89,14 +89,14 @@
         avoided: Vec::new(),
         demand: Demand {
             domain: "domain-1".to_owned(),
-            goal_ms: 1_000,
+            first_token_left_ms: 1_000,
             left_ms: 12_000,
             memory_tokens: Some(160_000),
             model: Some("m".to_owned()),
-            newest: 7,
+            newest_weights: 7,
             prompt_tokens: 17_000,
             service: "engines".to_owned(),
-            shared: Some((prefix_id, 13_300)),
+            shared_prefix: Some((prefix_id, 13_300)),
             ..Demand::default()
         },
     }
--- a/crates/coordination/src/affinity.rs
+++ b/crates/coordination/src/affinity.rs
@@ -22,19 +22,19 @@
     /// Tells whether the asker keeps an idle connection to the upstream.
     pub connected: bool,
     /// Tells whether the upstream is expected to have the request's shared prompt.
-    pub holds: bool,
+    pub has_prefix: bool,
     /// Counts the tokens of the long prompts under way there.
-    pub long_tokens: u64,
+    pub long_prompt_tokens: u64,
     /// Tells whether the upstream is in the asker's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Names the upstream.
     pub id: String,
     /// Gives the time that reading the request's prompt takes there, in milliseconds.
-    pub reading_ms: u64,
+    pub prefill_ms: u64,
 }
 
 /// Returns the `count` upstreams that rank highest for the shared prompt `key`, in any order.
-pub fn foremost<'a>(
+pub fn top_ranked<'a>(
     mut upstreams: Vec<&'a Upstream>,
     key: &str,
     count: usize,
@@ -51,7 +51,7 @@
 
 /// Returns the place of the candidate that ranks highest for the shared prompt `key` among those
 /// that have room for it.
-pub fn ranked(
+pub fn first_fit(
     candidates: &[Candidate],
     key: &str,
     has_room: impl Fn(&Candidate) -> bool,
@@ -64,28 +64,28 @@
 
 /// Returns the least loaded of some candidates that are drawn by lot, so that hosts which know the
 /// same loads do not all choose the same upstream.
-pub fn least_loaded_of_some(candidates: &[Candidate], draw: u64) -> Option<usize> {
+pub fn least_loaded_of_sample(candidates: &[Candidate], random: u64) -> Option<usize> {
     let count = candidates.len();
-    let first = (draw as usize).checked_rem(count)?;
+    let first = (random as usize).checked_rem(count)?;
     let mut places: Vec<usize> = (0..count).collect();
     places.rotate_left(first);
-    let mut rest = draw >> 32;
+    let mut rest = random >> 32;
     for place in 1..count.min(DRAWN) {
         let other = place + (rest as usize) % (count - place);
         places.swap(place, other);
         rest /= count as u64;
     }
     places.truncate(DRAWN);
-    let key = |place: &usize| (candidates[*place].backlog_ms, !candidates[*place].near);
+    let key = |i: &usize| (candidates[*i].backlog_ms, !candidates[*i].same_domain);
     places.into_iter().min_by_key(key)
 }
 
 /// Returns the least loaded of the candidates to which a connection is open and which have at most
 /// `slack_ms` more work ahead than the one at `place`, or else `place`.
-pub fn connected_instead(candidates: &[Candidate], place: usize, slack_ms: u64) -> usize {
+pub fn prefer_connected(candidates: &[Candidate], place: usize, slack_ms: u64) -> usize {
     let most = candidates[place].backlog_ms + slack_ms;
     let open = candidates.iter().enumerate();
     let open = open.filter(|(_, c)| c.connected && c.backlog_ms <= most);
-    let least = open.min_by_key(|(_, c)| (c.backlog_ms, !c.near));
+    let least = open.min_by_key(|(_, c)| (c.backlog_ms, !c.same_domain));
     least.map_or(place, |(place, _)| place)
 }
--- a/crates/coordination/src/assignment.rs
+++ b/crates/coordination/src/assignment.rs
@@ -90,7 +90,7 @@
         demand.tried.extend(ask.avoided);
         let mut choice = self.dispatch.choose(now, fleet, &demand)?;
         self.grants += 1;
-        choice.grant = Some(self.grants);
+        choice.assignment_id = Some(self.grants);
         let run = self.dispatch.sent(now, &choice, &demand);
         self.open.push(Open {
             at: now,
--- a/crates/coordination/src/choice.rs
+++ b/crates/coordination/src/choice.rs
@@ -15,15 +15,15 @@
     /// Gives the time that the work ahead of the request was expected to take, in milliseconds.
     pub backlog_ms: u64,
     /// Tells where the engine fetches the shared prompt if it lacks it.
-    pub fetch: Option<SocketAddr>,
+    pub fetch_from: Option<SocketAddr>,
     /// Numbers the choice where the leading host made it.
-    pub grant: Option<u64>,
+    pub assignment_id: Option<u64>,
     /// Gives the order in which the engine admits the request among others.
     pub rank: Rank,
     /// Gives the time that reading its prompt was expected to take, in milliseconds.
-    pub reading_ms: u64,
+    pub prefill_ms: u64,
     /// Holds the store that receives the shared prompt.
-    pub save: Option<SocketAddr>,
+    pub save_to: Option<SocketAddr>,
     /// Describes the upstream.
     pub upstream: Upstream,
     /// Gives the version of the model's weights there.
@@ -50,7 +50,8 @@
     /// Means that every engine has enough to read; the request should wait a little.
     Busy,
     /// Means that no upstream of the service takes work.
-    None,
+    #[strum(serialize = "none")]
+    NoUpstream,
     /// Means that the work ahead takes longer than the caller waits.
     TooLate,
 }
--- a/crates/coordination/src/demand.rs
+++ b/crates/coordination/src/demand.rs
@@ -15,11 +15,11 @@
     /// Names the failure domain of this host.
     pub domain: String,
     /// Breaks ties.
-    pub draw: u64,
+    pub random: u64,
     /// Gives the weights version that must serve the request, where an answer goes on.
     pub exact_weights: Option<u64>,
     /// Gives the time left until the answer should begin, in milliseconds.
-    pub goal_ms: u64,
+    pub first_token_left_ms: u64,
     /// Gives the time left, in milliseconds.
     pub left_ms: u64,
     /// Counts the tokens that the memory of one engine holds, where that is known.
@@ -27,32 +27,32 @@
     /// Names the model, where engines serve the request.
     pub model: Option<String>,
     /// Gives the newest version of the model's weights.
-    pub newest: u64,
+    pub newest_weights: u64,
     /// Counts the tokens of the prompt.
     pub prompt_tokens: u64,
     /// Names the service.
     pub service: String,
     /// Names the part of the prompt that other requests share, and counts the tokens up to its end.
-    pub shared: Option<(String, u64)>,
+    pub shared_prefix: Option<(String, u64)>,
     /// Lists the stores of cached prompts.
     pub stores: Vec<SocketAddr>,
     /// Lists the upstreams that have failed this request.
     pub tried: Vec<String>,
     /// Names the workspace whose cached prompts no other may use, where it is the request's.
-    pub wall: Option<String>,
+    pub isolated_workspace: Option<String>,
 }
 
 impl Demand {
     /// Names the shared prompt as engines with a version of the weights cache it.
-    pub fn prefix(&self, weights: u64) -> Option<PrefixKey> {
-        let prefix_id = self.cached()?;
+    pub fn prefix_key(&self, weights: u64) -> Option<PrefixKey> {
+        let prefix_id = self.cache_name()?;
         Some(PrefixKey { prefix_id, weights })
     }
 
     /// Names the shared prompt with the workspace that it must not leave, where there is one.
-    fn cached(&self) -> Option<String> {
-        let (prefix_id, _) = self.shared.as_ref()?;
-        Some(match &self.wall {
+    fn cache_name(&self) -> Option<String> {
+        let (prefix_id, _) = self.shared_prefix.as_ref()?;
+        Some(match &self.isolated_workspace {
             None => prefix_id.clone(),
             Some(workspace) => format!("{prefix_id}@{workspace}"),
         })
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     id: String,
-    long_tokens: u64,
+    long_prompt_tokens: u64,
     prefix: Option<PrefixKey>,
     request_id: RequestId,
     tokens: u64,
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Seen {
-    long_tokens: u64,
+    long_prompt_tokens: u64,
     refused: Option<Instant>,
     running: u32,
     pending_prefill_tokens: u64,
@@ -97,7 +97,7 @@
     /// Returns what this host has under way.
     fn load(&self, last_byte_age_ms: Option<u64>) -> UpstreamLoad {
         UpstreamLoad {
-            long_tokens: self.long_tokens,
+            long_prompt_tokens: self.long_prompt_tokens,
             last_byte_age_ms,
             running: self.running,
             pending_prefill_tokens: self.pending_prefill_tokens,
@@ -166,10 +166,10 @@
             .model
             .as_ref()
             .map(|model| self.weights(&upstream, model));
-        let prefix = weights.and_then(|weights| demand.prefix(weights));
+        let prefix = weights.and_then(|weights| demand.prefix_key(weights));
         let store = prefix.as_ref();
         let store = store.and_then(|prefix| prefix_index::store_for(&demand.stores, prefix));
-        let fetch = prefix.as_ref().and_then(|prefix| {
+        let fetch_from = prefix.as_ref().and_then(|prefix| {
             let peer = self.source(now, fleet, demand, &upstream, prefix);
             peer.or(store)
         });
@@ -177,15 +177,15 @@
         let saves = saves.is_some_and(|prefix| self.prefix_index.claim_save(now, &prefix));
         Ok(Choice {
             backlog_ms: expected.backlog_ms,
-            fetch,
-            grant: None,
-            rank: match (&demand.shared, demand.goal_ms > FIRST_MS) {
+            fetch_from,
+            assignment_id: None,
+            rank: match (&demand.shared_prefix, demand.first_token_left_ms > FIRST_MS) {
                 (None, _) => Rank::Normal,
                 (Some(_), true) => Rank::First,
                 (Some(_), false) => Rank::Last,
             },
-            reading_ms: expected.reading_ms,
-            save: store.filter(|_| saves),
+            prefill_ms: expected.prefill_ms,
+            save_to: store.filter(|_| saves),
             upstream,
             weights,
         })
@@ -193,21 +193,26 @@
 
     /// Notes that a request was sent, and returns what its further events are noted with.
     pub fn sent(&mut self, now: Instant, choice: &Choice, demand: &Demand) -> Run {
-        self.grants.extend(choice.grant);
+        self.grants.extend(choice.assignment_id);
         let id = choice.upstream.id.clone();
         let cached = self.cached(now, &choice.upstream, demand);
         let tokens = reading_tokens(demand, cached);
         let seen = self.seen.entry(id.clone()).or_default();
-        let long_tokens = demand.shared.as_ref().map_or(0, |_| demand.prompt_tokens);
-        seen.long_tokens += long_tokens;
+        let long_prompt_tokens = demand
+            .shared_prefix
+            .as_ref()
+            .map_or(0, |_| demand.prompt_tokens);
+        seen.long_prompt_tokens += long_prompt_tokens;
         seen.running += 1;
         seen.pending_prefill_tokens += tokens;
         let work_ms = 2 * self.load(now, &id).pending_prefill_tokens / READ_TOKENS_PER_MS;
         let request_id = self.unresponsive.record_sent(now, id.clone(), work_ms);
         Run {
             id,
-            long_tokens,
-            prefix: choice.weights.and_then(|weights| demand.prefix(weights)),
+            long_prompt_tokens,
+            prefix: choice
+                .weights
+                .and_then(|weights| demand.prefix_key(weights)),
             request_id,
             tokens,
         }
@@ -309,7 +314,9 @@
     pub fn ended(&mut self, run: &Run) {
         self.unresponsive.record_ended(&run.id, run.request_id);
         if let Some(seen) = self.seen.get_mut(&run.id) {
-            seen.long_tokens = seen.long_tokens.saturating_sub(run.long_tokens);
+            seen.long_prompt_tokens = seen
+                .long_prompt_tokens
+                .saturating_sub(run.long_prompt_tokens);
             seen.running = seen.running.saturating_sub(1);
             seen.pending_prefill_tokens = seen.pending_prefill_tokens.saturating_sub(run.tokens);
         }
@@ -363,8 +370,8 @@
                 && self.is_current(fleet, upstream, demand)
         };
         let listed: Vec<&Upstream> = fleet.upstreams.iter().filter(takes).collect();
-        let listed = match &demand.shared {
-            Some((prefix_id, _)) => affinity::foremost(listed, prefix_id, WEIGHED),
+        let listed = match &demand.shared_prefix {
+            Some((prefix_id, _)) => affinity::top_ranked(listed, prefix_id, WEIGHED),
             None => listed,
         };
         let is_sound = |upstream: &&Upstream| self.is_usable(now, &upstream.id);
@@ -389,7 +396,7 @@
     ) -> Result<&'a Upstream, Refusal> {
         let has_newest = |upstream: &Upstream| {
             let model = demand.model.as_ref();
-            model.is_none_or(|model| self.weights(upstream, model) >= demand.newest)
+            model.is_none_or(|model| self.weights(upstream, model) >= demand.newest_weights)
         };
         let (newest, older): (Vec<&Upstream>, Vec<&Upstream>) =
             ready.iter().partition(|upstream| has_newest(upstream));
@@ -399,20 +406,21 @@
         };
         let (new, old) = (candidates(&newest), candidates(&older));
         let Some(least) = new.iter().chain(&old).map(|c| c.backlog_ms).min() else {
-            return Err(Refusal::None);
+            return Err(Refusal::NoUpstream);
         };
         if least > demand.left_ms {
             return Err(Refusal::TooLate);
         }
-        if let Some((prefix_id, _)) = &demand.shared {
+        if let Some((prefix_id, _)) = &demand.shared_prefix {
             let first = |has_room: &dyn Fn(&Candidate) -> bool| {
-                let place = affinity::ranked(&new, prefix_id, has_room).map(|place| newest[place]);
-                place.or_else(|| Some(older[affinity::ranked(&old, prefix_id, has_room)?]))
+                let place =
+                    affinity::first_fit(&new, prefix_id, has_room).map(|place| newest[place]);
+                place.or_else(|| Some(older[affinity::first_fit(&old, prefix_id, has_room)?]))
             };
             let in_time = |candidate: &Candidate| {
                 fits(candidate, demand) && begins_in_time(candidate, demand)
             };
-            let cached_prefix = |candidate: &Candidate| candidate.holds && in_time(candidate);
+            let cached_prefix = |candidate: &Candidate| candidate.has_prefix && in_time(candidate);
             let is_idle = |candidate: &Candidate| candidate.backlog_ms <= ROOM_LATE_MS;
             let soon = |candidate: &Candidate| fits(candidate, demand) && is_idle(candidate);
             let idle = new.iter().chain(&old).filter(|c| is_idle(c)).count();
@@ -432,10 +440,10 @@
             false => (ready.to_vec(), candidates(ready)),
             true => (newest, new),
         };
-        let place = affinity::least_loaded_of_some(&candidates, demand.draw);
-        let place = place.ok_or(Refusal::None)?;
-        let slack_ms = demand.goal_ms / CONNECTION_DIVISOR;
-        Ok(among[affinity::connected_instead(&candidates, place, slack_ms)])
+        let place = affinity::least_loaded_of_sample(&candidates, demand.random);
+        let place = place.ok_or(Refusal::NoUpstream)?;
+        let slack_ms = demand.first_token_left_ms / CONNECTION_DIVISOR;
+        Ok(among[affinity::prefer_connected(&candidates, place, slack_ms)])
     }
 
     /// Returns what all hosts have under way at an upstream.
@@ -446,7 +454,7 @@
         let others = self.others.1.get(id).copied().filter(|_| fresh);
         let others = others.unwrap_or_default();
         UpstreamLoad {
-            long_tokens: own.long_tokens + others.long_tokens,
+            long_prompt_tokens: own.long_prompt_tokens + others.long_prompt_tokens,
             last_byte_age_ms: None,
             running: own.running + others.running,
             pending_prefill_tokens: own.pending_prefill_tokens + others.pending_prefill_tokens,
@@ -460,11 +468,11 @@
         Candidate {
             backlog_ms: load.pending_prefill_tokens / READ_TOKENS_PER_MS + running_ms,
             connected: demand.connected.contains(&upstream.address),
-            holds: cached == Cached::Here,
+            has_prefix: cached == Cached::Here,
             id: upstream.id.clone(),
-            long_tokens: load.long_tokens,
-            near: upstream.domain == demand.domain,
-            reading_ms: reading_tokens(demand, cached) / READ_TOKENS_PER_MS,
+            long_prompt_tokens: load.long_prompt_tokens,
+            same_domain: upstream.domain == demand.domain,
+            prefill_ms: reading_tokens(demand, cached) / READ_TOKENS_PER_MS,
         }
     }
 
@@ -472,7 +480,7 @@
     fn cached(&self, now: Instant, upstream: &Upstream, demand: &Demand) -> Cached {
         let model = demand.model.as_ref();
         let weights = model.map(|model| self.weights(upstream, model));
-        let Some(prefix) = weights.and_then(|weights| demand.prefix(weights)) else {
+        let Some(prefix) = weights.and_then(|weights| demand.prefix_key(weights)) else {
             return Cached::Nowhere;
         };
         let holders = self.prefix_index.engines(now, &prefix);
@@ -518,10 +526,10 @@
         };
         let engines = self.prefix_index.engines(now, prefix);
         let cached_prefix: Vec<&Upstream> = engines.iter().filter_map(holds).collect();
-        let near = cached_prefix
+        let same_domain = cached_prefix
             .iter()
             .find(|upstream| upstream.domain == chosen.domain);
-        let best = near.or(cached_prefix.first());
+        let best = same_domain.or(cached_prefix.first());
         best.map(|upstream| upstream.address)
     }
 }
@@ -529,7 +537,10 @@
 /// Counts the tokens that an engine would read for a request, those that it would fetch from
 /// another as the reading that takes as long.
 fn reading_tokens(demand: &Demand, cached: Cached) -> u64 {
-    let shared = demand.shared.as_ref().map_or(0, |(_, tokens)| *tokens);
+    let shared = demand
+        .shared_prefix
+        .as_ref()
+        .map_or(0, |(_, tokens)| *tokens);
     let own = demand.prompt_tokens.saturating_sub(shared);
     match cached {
         Cached::Elsewhere => own + shared / FETCH_DIVISOR,
@@ -541,7 +552,7 @@
 /// Returns whether a long prompt fits into a candidate's memory beside those under way; an engine
 /// that holds more puts answers back and drops the prompts that later requests share.
 fn fits(candidate: &Candidate, demand: &Demand) -> bool {
-    let held = candidate.long_tokens;
+    let held = candidate.long_prompt_tokens;
     let most = |memory: u64| memory * LONG_PERCENT / 100;
     held == 0
         || demand
@@ -551,5 +562,5 @@
 
 /// Returns whether an answer that a candidate makes is expected to begin in time.
 fn begins_in_time(candidate: &Candidate, demand: &Demand) -> bool {
-    candidate.backlog_ms + candidate.reading_ms + FIRST_MS <= demand.goal_ms
+    candidate.backlog_ms + candidate.prefill_ms + FIRST_MS <= demand.first_token_left_ms
 }
--- a/crates/coordination/src/upstream_load.rs
+++ b/crates/coordination/src/upstream_load.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UpstreamLoad {
     /// Counts the tokens of the requests whose prompts are long.
-    pub long_tokens: u64,
+    pub long_prompt_tokens: u64,
     /// Gives the time since the upstream sent a byte to any host, in milliseconds, where it did
     /// lately.
     pub last_byte_age_ms: Option<u64>,
@@ -58,7 +58,7 @@
                 *heard = (*heard).max(now.before(quiet));
             }
             let sum = self.total.entry(upstream.clone()).or_default();
-            sum.long_tokens += load.long_tokens;
+            sum.long_prompt_tokens += load.long_prompt_tokens;
             sum.running += load.running;
             sum.pending_prefill_tokens += load.pending_prefill_tokens;
         }
@@ -83,7 +83,7 @@
             };
             for (upstream, load) in loads {
                 if let Some(sum) = self.total.get_mut(&upstream) {
-                    sum.long_tokens -= load.long_tokens;
+                    sum.long_prompt_tokens -= load.long_prompt_tokens;
                     sum.running -= load.running;
                     sum.pending_prefill_tokens -= load.pending_prefill_tokens;
                     if *sum == UpstreamLoad::default() {
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -24,13 +24,13 @@
 
 fn demand(prefix_id: impl Into<String>) -> Demand {
     Demand {
-        goal_ms: 1_000,
+        first_token_left_ms: 1_000,
         left_ms: 12_000,
         model: Some("m".to_owned()),
-        newest: 1,
+        newest_weights: 1,
         prompt_tokens: 30_000,
         service: "engines".to_owned(),
-        shared: Some((prefix_id.into(), 20_000)),
+        shared_prefix: Some((prefix_id.into(), 20_000)),
         ..Demand::default()
     }
 }
@@ -98,7 +98,7 @@
     let choice = choice.unwrap();
     assert_eq!(choice.backlog_ms, 0);
     let late = Demand {
-        goal_ms: 100_000,
+        first_token_left_ms: 100_000,
         ..demand("q")
     };
     let next = || Ask {
@@ -150,13 +150,13 @@
 fn a_prompt_that_an_engine_has_read_is_fetched_from_it_once_a_host_has_told_so() {
     let fleet = fleet(&[("e", 1), ("f", 1)]);
     let mut desk = Desk::new(0);
-    let prefix = demand("p").prefix(1).unwrap();
+    let prefix = demand("p").prefix_key(1).unwrap();
     let location = CacheLocation::Engine("e".to_owned());
     desk.reported(Instant(0), &[], &[CachedPrefix { location, prefix }]);
     let loads = UpstreamLoads::from([("e".to_owned(), pending_prefill(40_000))]);
     let choice = desk.assign(Instant(1), &fleet, &loads, ask("p")).unwrap();
     assert_eq!(choice.upstream.id, "f");
-    assert_eq!(choice.fetch, Some(upstream_fixtures::address("e")));
+    assert_eq!(choice.fetch_from, Some(upstream_fixtures::address("e")));
 }
 
 #[test]
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -25,24 +25,24 @@
 
 fn long(prefix_id: &str) -> Demand {
     Demand {
-        goal_ms: 1_000,
+        first_token_left_ms: 1_000,
         left_ms: 12_000,
         model: Some("m".to_owned()),
-        newest: 1,
+        newest_weights: 1,
         prompt_tokens: 17_000,
         service: "engines".to_owned(),
-        shared: Some((prefix_id.to_owned(), 13_300)),
+        shared_prefix: Some((prefix_id.to_owned(), 13_300)),
         stores: vec![address(STORE)],
         ..Demand::default()
     }
 }
 
-fn short(draw: u64) -> Demand {
+fn short(random: u64) -> Demand {
     Demand {
-        draw,
+        random,
         left_ms: 6_000,
         model: Some("m".to_owned()),
-        newest: 1,
+        newest_weights: 1,
         prompt_tokens: 380,
         service: "engines".to_owned(),
         ..Demand::default()
@@ -79,17 +79,17 @@
     host.heard_of(Instant(1), others.clone());
     let early = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&early));
-    assert_eq!(early.fetch, Some(address(STORE)), "it is not read yet");
+    assert_eq!(early.fetch_from, Some(address(STORE)), "it is not read yet");
     host.read(Instant(300), &mut run);
     let later = host.choose(Instant(301), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&later));
-    assert_eq!(later.fetch, Some(first.upstream.address));
+    assert_eq!(later.fetch_from, Some(first.upstream.address));
     let mut other = Dispatch::new(1);
     other.heard_of(Instant(400), others);
     other.heard_where(Instant(400), host.tell(Instant(400)));
     let told = other.choose(Instant(401), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&told));
-    assert_eq!(told.fetch, Some(first.upstream.address));
+    assert_eq!(told.fetch_from, Some(first.upstream.address));
 }
 
 #[test]
@@ -104,7 +104,7 @@
     let _ = host.sent(Instant(300), &first, &short(0));
     let next = host.choose(Instant(2_000), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&next));
-    assert_eq!(next.fetch, Some(address(STORE)));
+    assert_eq!(next.fetch_from, Some(address(STORE)));
 }
 
 #[test]
@@ -158,7 +158,7 @@
             .insert("m".to_owned(), weights);
         let next = host.choose(Instant(301), &fleet, &demand).unwrap();
         assert_ne!(id(&first), id(&next));
-        assert_eq!(next.fetch, Some(fetch), "{standing} {weights}");
+        assert_eq!(next.fetch_from, Some(fetch), "{standing} {weights}");
     }
 }
 
@@ -166,19 +166,19 @@
 fn short_prompts_stay_where_connections_are_open_until_answers_begin_sooner_elsewhere() {
     let fleet = engines(60);
     let open = ["e3", "e30", "e57"];
-    let demand = |draw| Demand {
+    let demand = |random| Demand {
         connected: open.map(address).to_vec(),
-        goal_ms: 2_500,
-        ..short(draw)
+        first_token_left_ms: 2_500,
+        ..short(random)
     };
     for (ahead, stays) in [(0, true), (5_000, true), (6_000, false)] {
         let mut host = Dispatch::new(0);
         let busy = open.map(|id| (id.to_owned(), pending_prefill(ahead)));
         host.heard_of(Instant(0), BTreeMap::from(busy));
-        for draw in 0..200 {
-            let draw = u64::wrapping_mul(draw, 0x9E37_79B9_7F4A_7C15);
-            let choice = host.choose(Instant(1), &fleet, &demand(draw)).unwrap();
-            assert_eq!(open.contains(&id(&choice)), stays, "{ahead} {draw}");
+        for random in 0..200 {
+            let random = u64::wrapping_mul(random, 0x9E37_79B9_7F4A_7C15);
+            let choice = host.choose(Instant(1), &fleet, &demand(random)).unwrap();
+            assert_eq!(open.contains(&id(&choice)), stays, "{ahead} {random}");
         }
     }
 }
@@ -200,7 +200,7 @@
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(15_000))]);
     host.heard_of(Instant(0), busy);
     let late = Demand {
-        goal_ms: 0,
+        first_token_left_ms: 0,
         ..long("p")
     };
     assert_eq!(host.choose(Instant(1), &fleet, &late), Err(Refusal::Busy));
@@ -211,7 +211,7 @@
 fn late_prompts_leave_the_last_idle_engines_to_those_in_time() {
     let fleet = engines(10);
     let late = Demand {
-        goal_ms: 0,
+        first_token_left_ms: 0,
         ..long("p")
     };
     for (idle, placed) in [(4, true), (3, true), (2, false), (1, false)] {
@@ -263,7 +263,7 @@
     host.heard_of(Instant(403), busy);
     let late = host.choose(Instant(404), &fleet, &demand).unwrap();
     assert_eq!(id(&late), id(&ranked), "it would be late where it was read");
-    assert_eq!(late.fetch, Some(reader.upstream.address));
+    assert_eq!(late.fetch_from, Some(reader.upstream.address));
 }
 
 /// Fills the engines to which a host sends a prompt one by one until it sends it nowhere.
@@ -319,7 +319,7 @@
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatch::new(0);
     let late = Demand {
-        goal_ms: 0,
+        first_token_left_ms: 0,
         ..long("p")
     };
     for (demand, rank) in [
@@ -337,7 +337,7 @@
     let fleet = fleet(&[("new", 2), ("old", 1)]);
     let mut host = Dispatch::new(0);
     let demand = Demand {
-        newest: 2,
+        newest_weights: 2,
         prompt_tokens: 30_000,
         ..long("p")
     };
@@ -401,8 +401,8 @@
     let mut host = Dispatch::new(0);
     let mut sent: BTreeMap<String, u32> = BTreeMap::new();
     for place in 0..400_u64 {
-        let draw = place.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let demand = short(draw);
+        let random = place.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let demand = short(random);
         let choice = host.choose(Instant(0), &fleet, &demand).unwrap();
         let _ = host.sent(Instant(0), &choice, &demand);
         *sent.entry(choice.upstream.id).or_default() += 1;
@@ -417,10 +417,10 @@
 fn engines_with_the_newest_weights_come_first() {
     let fleet = fleet(&[("a", 1), ("b", 2), ("c", 1)]);
     let mut host = Dispatch::new(0);
-    for draw in 0..20 {
+    for random in 0..20 {
         let demand = Demand {
-            newest: 2,
-            ..short(draw)
+            newest_weights: 2,
+            ..short(random)
         };
         let choice = host.choose(Instant(0), &fleet, &demand).unwrap();
         assert_eq!((id(&choice), choice.weights), ("b", Some(2)));
@@ -433,7 +433,7 @@
     fleet.floors.insert("m".to_owned(), 2);
     let mut host = Dispatch::new(0);
     let refusal = host.choose(Instant(0), &fleet, &short(0));
-    assert_eq!(refusal, Err(Refusal::None));
+    assert_eq!(refusal, Err(Refusal::NoUpstream));
 }
 
 #[test]
@@ -442,8 +442,8 @@
     fleet.upstreams[0].standing = Standing::Leaving;
     fleet.upstreams[1].standing = Standing::Loading;
     let mut host = Dispatch::new(0);
-    for draw in 0..20 {
-        let choice = host.choose(Instant(0), &fleet, &short(draw)).unwrap();
+    for random in 0..20 {
+        let choice = host.choose(Instant(0), &fleet, &short(random)).unwrap();
         assert_eq!(id(&choice), "c");
     }
 }
@@ -453,16 +453,16 @@
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatch::new(0);
     let first = host.choose(Instant(0), &fleet, &long("p")).unwrap();
-    assert_eq!(first.save, Some(address(STORE)));
-    assert_eq!(first.fetch, Some(address(STORE)));
+    assert_eq!(first.save_to, Some(address(STORE)));
+    assert_eq!(first.fetch_from, Some(address(STORE)));
     let second = host.choose(Instant(1_000), &fleet, &long("p")).unwrap();
-    assert_eq!(second.save, None);
+    assert_eq!(second.save_to, None);
     let isolated = Demand {
-        wall: Some("w".to_owned()),
+        isolated_workspace: Some("w".to_owned()),
         ..long("p")
     };
     let other = host.choose(Instant(1_000), &fleet, &isolated).unwrap();
-    assert_eq!(other.save, Some(address(STORE)));
+    assert_eq!(other.save_to, Some(address(STORE)));
 }
 
 #[test]
@@ -477,7 +477,7 @@
     host.heard_of(Instant(1), busy);
     let next = host.choose(Instant(2), &new, &demand).unwrap();
     assert_ne!(id(&next), id(&choice));
-    assert_eq!(next.fetch, Some(address(STORE)));
+    assert_eq!(next.fetch_from, Some(address(STORE)));
 }
 
 #[test]
@@ -502,15 +502,15 @@
     };
     let choice = host.choose(Instant(0), &fleet, &only_a).unwrap();
     let mut run = host.sent(Instant(0), &choice, &demand);
-    for draw in 0..20 {
-        let late = host.choose(Instant(2_000), &fleet, &short(draw)).unwrap();
+    for random in 0..20 {
+        let late = host.choose(Instant(2_000), &fleet, &short(random)).unwrap();
         assert_eq!(id(&late), "b");
     }
     host.answered(Instant(2_001), &mut run);
     host.ended(&run);
     let used: BTreeSet<String> = (0..20)
-        .map(|draw| {
-            let choice = host.choose(Instant(2_002), &fleet, &short(draw)).unwrap();
+        .map(|random| {
+            let choice = host.choose(Instant(2_002), &fleet, &short(random)).unwrap();
             choice.upstream.id
         })
         .collect();
@@ -526,7 +526,7 @@
         ..long("p")
     };
     let held = |tokens| UpstreamLoad {
-        long_tokens: tokens,
+        long_prompt_tokens: tokens,
         last_byte_age_ms: None,
         running: 4,
         pending_prefill_tokens: 0,
@@ -553,7 +553,7 @@
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatch::new(0);
     let demand = Demand {
-        goal_ms: 10_000,
+        first_token_left_ms: 10_000,
         memory_tokens: Some(100_000),
         prompt_tokens: 90_000,
         ..long("p")
--- a/crates/coordination/tests/reload.rs
+++ b/crates/coordination/tests/reload.rs
@@ -66,7 +66,7 @@
 
     fn running(mut self, id: &str) -> Self {
         let load = UpstreamLoad {
-            long_tokens: 0,
+            long_prompt_tokens: 0,
             last_byte_age_ms: None,
             running: 1,
             pending_prefill_tokens: 0,
--- a/crates/coordination/tests/routed.rs
+++ b/crates/coordination/tests/routed.rs
@@ -13,7 +13,7 @@
 
 fn loads(entries: &[(&str, u32)]) -> UpstreamLoads {
     let load = |running: u32| UpstreamLoad {
-        long_tokens: 0,
+        long_prompt_tokens: 0,
         last_byte_age_ms: None,
         running,
         pending_prefill_tokens: u64::from(running) * 10,
--- a/crates/coordination/tests/upstream_fixtures/mod.rs
+++ b/crates/coordination/tests/upstream_fixtures/mod.rs
@@ -62,7 +62,7 @@
 /// Returns the load of an engine that has so many tokens to read for one request.
 pub fn pending_prefill(tokens: u64) -> UpstreamLoad {
     UpstreamLoad {
-        long_tokens: 0,
+        long_prompt_tokens: 0,
         last_byte_age_ms: None,
         running: 1,
         pending_prefill_tokens: tokens,
--- a/crates/hibiscushoistd/src/gateway_attempt.rs
+++ b/crates/hibiscushoistd/src/gateway_attempt.rs
@@ -266,12 +266,12 @@
     Forward {
         expect_upstream: choice.upstream.id.clone(),
         expect_weights: choice.weights,
-        fetch: choice.fetch,
+        fetch: choice.fetch_from,
         left_ms,
         rank: choice.rank,
         resume_after: routed.resume_after,
         salt,
-        save: choice.save,
+        save: choice.save_to,
         workspace: workspace.map(|workspace| workspace.name.clone()),
     }
 }
--- a/crates/hibiscushoistd/src/gateway_place.rs
+++ b/crates/hibiscushoistd/src/gateway_place.rs
@@ -43,7 +43,7 @@
         let chosen = match assigned(context, gateway, &demand).await {
             Some(Ok(choice)) => Ok(choice),
             Some(Err(refusal @ (Refusal::Busy | Refusal::TooLate))) => Err(refusal),
-            Some(Err(Refusal::None)) | None => choose(context, gateway, &demand),
+            Some(Err(Refusal::NoUpstream)) | None => choose(context, gateway, &demand),
         };
         match chosen {
             Err(Refusal::Busy) if waits(context, routed) => tokio::time::sleep(ROOM_LOOK).await,
@@ -60,7 +60,7 @@
     gateway: &Gateway,
     demand: &Demand,
 ) -> Option<Result<Choice, Refusal>> {
-    demand.shared.as_ref()?;
+    demand.shared_prefix.as_ref()?;
     let leader = gateway.outlook.leader()?;
     let pool = context.pool.as_ref()?;
     let known = gateway.outlook.known();
@@ -129,18 +129,18 @@
         connected,
         domain: context.settings.failure_domain.clone(),
         exact_weights: progress.exact_weights,
-        draw: rand::random(),
-        goal_ms: routed.route.first_byte_goal_ms.saturating_sub(waited),
+        random: rand::random(),
+        first_token_left_ms: routed.route.first_byte_goal_ms.saturating_sub(waited),
         left_ms: routed.left_ms(now),
         memory_tokens: service.and_then(|service| service.memory_tokens),
-        newest: newest.copied().unwrap_or_default(),
+        newest_weights: newest.copied().unwrap_or_default(),
         model,
         prompt_tokens: routed.facts.prompt_tokens,
         service: routed.service.clone(),
-        shared,
+        shared_prefix: shared,
         stores: stores(&known),
         tried: progress.tried.clone(),
-        wall: routed
+        isolated_workspace: routed
             .workspace
             .as_ref()
             .filter(|workspace| workspace.isolated)
--- a/crates/hibiscushoistd/src/gateway_run.rs
+++ b/crates/hibiscushoistd/src/gateway_run.rs
@@ -293,7 +293,7 @@
         };
     }
     match refusal {
-        Refusal::None => later(Reason::NoUpstream, REJECTED_MS),
+        Refusal::NoUpstream => later(Reason::NoUpstream, REJECTED_MS),
         Refusal::Busy | Refusal::TooLate => {
             let spread = rand::random_range(0..=BUSY_SPREAD_MS);
             later(Reason::Overloaded, BUSY_MS + spread)
