--- a/crates/coordination/examples/assign_slope.rs
+++ b/crates/coordination/examples/assign_slope.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use coordination::assignment::Ask;
-use coordination::assignment::Desk;
+use coordination::assignment::Assigner;
+use coordination::assignment::Request;
 use coordination::demand::Demand;
 use coordination::prefix_index::CacheLocation;
 use coordination::prefix_index::CachedPrefix;
@@ -31,17 +31,17 @@
 fn main() {
     for engines in ENGINES {
         let fleet = fleet(engines);
-        let mut desk = Desk::new(1);
+        let mut assigner = Assigner::new(1);
         let loads = loads(engines);
-        let mut covered = Vec::new();
+        let mut reported = Vec::new();
         let start = Instant::now();
         for ask in 0..ASKS {
             let now = time::Instant(ask * 10);
-            if let Ok(choice) = desk.assign(now, &fleet, &loads, demand(ask)) {
-                covered.extend(choice.assignment_id);
+            if let Ok(choice) = assigner.assign(now, &fleet, &loads, demand(ask)) {
+                reported.extend(choice.assignment_id);
                 let told = cached_prefix(ask, choice.upstream.id);
                 if ask % HOSTS == 0 {
-                    desk.reported(now, &std::mem::take(&mut covered), &[told]);
+                    assigner.record_report(now, &std::mem::take(&mut reported), &[told]);
                 }
             }
         }
@@ -83,10 +83,10 @@
         .collect()
 }
 
-fn demand(ask: u64) -> Ask {
+fn demand(ask: u64) -> Request {
     let prefix_id = format!("part-{}", ask % PROMPTS);
-    Ask {
-        avoided: Vec::new(),
+    Request {
+        unusable: Vec::new(),
         demand: Demand {
             domain: "domain-1".to_owned(),
             first_token_left_ms: 1_000,
--- a/crates/coordination/src/assignment.rs
+++ b/crates/coordination/src/assignment.rs
@@ -11,8 +11,8 @@
 use crate::choice::Choice;
 use crate::choice::Refusal;
 use crate::demand::Demand;
-use crate::dispatch::Dispatch;
-use crate::dispatch::Run;
+use crate::dispatch::Dispatcher;
+use crate::dispatch::InFlight;
 use crate::prefix_index::CachedPrefix;
 use crate::upstream::Edition;
 use crate::upstream::Fleet;
@@ -28,9 +28,9 @@
 
 /// Asks for the engine of a long prompt.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct Request {
     /// Lists the engines that take no work from the asking host for now.
-    pub avoided: Vec<String>,
+    pub unusable: Vec<String>,
     /// Describes what the request needs.
     pub demand: Demand,
 }
@@ -39,25 +39,25 @@
 struct Open {
     at: Instant,
     grant: u64,
-    run: Run,
+    run: InFlight,
 }
 
 /// Assigns engines while its host leads.
 #[derive(Debug)]
-pub struct Desk {
-    dispatch: Dispatch,
+pub struct Assigner {
+    dispatch: Dispatcher,
     edition: Edition,
     grants: u64,
     open: Vec<Open>,
     summed: Option<Instant>,
 }
 
-impl Desk {
+impl Assigner {
     /// Returns a desk that has assigned nothing; `seed` fixes the jitter and the number from which
     /// assignments count, which must differ from that of other hosts.
     pub fn new(seed: u64) -> Self {
         Self {
-            dispatch: Dispatch::new(seed),
+            dispatch: Dispatcher::new(seed),
             edition: Edition::default(),
             grants: seed >> 1,
             open: Vec::new(),
@@ -75,23 +75,23 @@
         now: Instant,
         fleet: &Fleet,
         loads: &UpstreamLoads,
-        ask: Ask,
+        ask: Request,
     ) -> Result<Choice, Refusal> {
         if self.edition != fleet.edition {
             self.edition = fleet.edition;
             self.dispatch.sync(fleet);
         }
         if self.summed.is_none_or(|at| now.since(at) > SUM_AGE_MS) {
-            self.dispatch.heard_of(now, loads.clone());
+            self.dispatch.set_other_loads(now, loads.clone());
             self.summed = Some(now);
         }
         self.close(|open| now.since(open.at) > UNCOVERED_MS);
         let mut demand = ask.demand;
-        demand.tried.extend(ask.avoided);
+        demand.tried.extend(ask.unusable);
         let mut choice = self.dispatch.choose(now, fleet, &demand)?;
         self.grants += 1;
         choice.assignment_id = Some(self.grants);
-        let run = self.dispatch.sent(now, &choice, &demand);
+        let run = self.dispatch.record_sent(now, &choice, &demand);
         self.open.push(Open {
             at: now,
             grant: self.grants,
@@ -101,19 +101,19 @@
     }
 
     /// Notes that a host's report covers assignments, and where the host has seen shared prompts.
-    pub fn reported(&mut self, now: Instant, covered: &[u64], told: &[CachedPrefix]) {
+    pub fn record_report(&mut self, now: Instant, reported: &[u64], told: &[CachedPrefix]) {
         if !told.is_empty() {
-            self.dispatch.heard_where(now, told.to_vec());
+            self.dispatch.record_remote_prefixes(now, told.to_vec());
         }
-        if !covered.is_empty() {
-            self.close(|open| covered.contains(&open.grant));
+        if !reported.is_empty() {
+            self.close(|open| reported.contains(&open.grant));
             self.summed = None;
         }
     }
 
     fn close(&mut self, is_over: impl Fn(&Open) -> bool) {
         for open in self.open.extract_if(.., |open| is_over(open)) {
-            self.dispatch.ended(&open.run);
+            self.dispatch.record_end(&open.run);
         }
     }
 }
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -76,7 +76,7 @@
 
 /// Names a request under way.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct InFlight {
     id: String,
     long_prompt_tokens: u64,
     prefix: Option<PrefixKey>,
@@ -115,7 +115,7 @@
 
 /// Chooses upstreams.
 #[derive(Debug)]
-pub struct Dispatch {
+pub struct Dispatcher {
     breaker: CircuitBreaker,
     grants: Vec<u64>,
     prefix_index: PrefixIndex,
@@ -124,7 +124,7 @@
     unresponsive: UnresponsiveDetector,
 }
 
-impl Dispatch {
+impl Dispatcher {
     /// Returns a dispatch that has seen nothing; `seed` fixes the jitter.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -192,7 +192,7 @@
     }
 
     /// Notes that a request was sent, and returns what its further events are noted with.
-    pub fn sent(&mut self, now: Instant, choice: &Choice, demand: &Demand) -> Run {
+    pub fn record_sent(&mut self, now: Instant, choice: &Choice, demand: &Demand) -> InFlight {
         self.grants.extend(choice.assignment_id);
         let id = choice.upstream.id.clone();
         let cached = self.cached(now, &choice.upstream, demand);
@@ -207,7 +207,7 @@
         seen.pending_prefill_tokens += tokens;
         let work_ms = 2 * self.load(now, &id).pending_prefill_tokens / READ_TOKENS_PER_MS;
         let request_id = self.unresponsive.record_sent(now, id.clone(), work_ms);
-        Run {
+        InFlight {
             id,
             long_prompt_tokens,
             prefix: choice
@@ -220,7 +220,7 @@
 
     /// Returns the choices of the leading host by which requests were sent since it was asked last;
     /// what this host has under way covers them.
-    pub fn grants(&mut self) -> Vec<u64> {
+    pub fn take_assignment_ids(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.grants)
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Notes what other hosts have under way at upstreams.
-    pub fn heard_of(&mut self, now: Instant, others: UpstreamLoads) {
+    pub fn set_other_loads(&mut self, now: Instant, others: UpstreamLoads) {
         for (id, load) in &others {
             if let Some(quiet) = load.last_byte_age_ms {
                 self.unresponsive.record_remote_byte(now.before(quiet), id);
@@ -245,25 +245,25 @@
     }
 
     /// Notes where other hosts have seen shared prompts.
-    pub fn heard_where(&mut self, now: Instant, cached_prefixes: Vec<CachedPrefix>) {
+    pub fn record_remote_prefixes(&mut self, now: Instant, cached_prefixes: Vec<CachedPrefix>) {
         self.prefix_index.record_remote(now, cached_prefixes);
         self.prefix_index.expire(now);
     }
 
     /// Returns where this host has seen shared prompts since it was asked last.
-    pub fn tell(&mut self, now: Instant) -> Vec<CachedPrefix> {
+    pub fn take_prefix_updates(&mut self, now: Instant) -> Vec<CachedPrefix> {
         self.prefix_index.take_updates(now)
     }
 
     /// Has what this host has seen of shared prompts told once more, as it was told in vain or to
     /// a host that no longer leads.
-    pub fn tell_again(&mut self, now: Instant) {
+    pub fn resend_prefix_updates(&mut self, now: Instant) {
         self.prefix_index.resend_updates(now);
     }
 
     /// Notes the head of an answer.
-    pub fn answered(&mut self, now: Instant, run: &mut Run) {
-        self.heard(now, run);
+    pub fn record_answer_head(&mut self, now: Instant, run: &mut InFlight) {
+        self.record_byte(now, run);
         self.unresponsive.record_ended(&run.id, run.request_id);
         if let Some(seen) = self.seen.get_mut(&run.id) {
             seen.pending_prefill_tokens = seen.pending_prefill_tokens.saturating_sub(run.tokens);
@@ -272,7 +272,7 @@
     }
 
     /// Notes that the upstream has read the request's prompt, since it began to answer.
-    pub fn read(&mut self, now: Instant, run: &mut Run) {
+    pub fn record_prefill(&mut self, now: Instant, run: &mut InFlight) {
         if let Some(prefix) = run.prefix.take() {
             let location = CacheLocation::Engine(run.id.clone());
             self.prefix_index
@@ -281,12 +281,12 @@
     }
 
     /// Notes a byte of an answer.
-    pub fn heard(&mut self, now: Instant, run: &Run) {
+    pub fn record_byte(&mut self, now: Instant, run: &InFlight) {
         self.unresponsive.record_byte(now, &run.id);
     }
 
     /// Notes the version of an engine's weights as an answer gave it.
-    pub fn learned(&mut self, run: &Run, model: impl Into<String>, version: u64) {
+    pub fn record_weights(&mut self, run: &InFlight, model: impl Into<String>, version: u64) {
         if let Some(seen) = self.seen.get_mut(&run.id) {
             let known = seen.weights.entry(model.into()).or_default();
             *known = version.max(*known);
@@ -294,24 +294,24 @@
     }
 
     /// Notes that the upstream refused the request without running it.
-    pub fn refused(&mut self, now: Instant, run: &Run) {
+    pub fn record_refusal(&mut self, now: Instant, run: &InFlight) {
         if let Some(seen) = self.seen.get_mut(&run.id) {
             seen.refused = Some(now);
         }
     }
 
     /// Notes that the request failed at the upstream, and returns whether that ejected it.
-    pub fn failed(&mut self, now: Instant, run: &Run) -> bool {
+    pub fn record_failure(&mut self, now: Instant, run: &InFlight) -> bool {
         self.breaker.record_failure(now, run.id.clone())
     }
 
     /// Notes that the upstream served the request.
-    pub fn succeeded(&mut self, run: &Run) {
+    pub fn record_success(&mut self, run: &InFlight) {
         self.breaker.record_success(&run.id);
     }
 
     /// Notes that a request is no longer under way.
-    pub fn ended(&mut self, run: &Run) {
+    pub fn record_end(&mut self, run: &InFlight) {
         self.unresponsive.record_ended(&run.id, run.request_id);
         if let Some(seen) = self.seen.get_mut(&run.id) {
             seen.long_prompt_tokens = seen
@@ -323,13 +323,13 @@
     }
 
     /// Returns whether an upstream would take a request now, without sending it there.
-    pub fn offers(&self, now: Instant, fleet: &Fleet, demand: &Demand) -> bool {
+    pub fn can_place(&self, now: Instant, fleet: &Fleet, demand: &Demand) -> bool {
         let ready = self.ready(now, fleet, demand);
         self.pick(now, &ready, demand).is_ok()
     }
 
     /// Returns whether the upstream of a request answers nobody.
-    pub fn is_unresponsive(&self, now: Instant, run: &Run) -> bool {
+    pub fn is_unresponsive(&self, now: Instant, run: &InFlight) -> bool {
         self.unresponsive.is_unresponsive(now, &run.id)
     }
 
@@ -345,7 +345,7 @@
     }
 
     /// Returns the upstreams of a service that take no work from this host for now.
-    pub fn avoided(&self, now: Instant, fleet: &Fleet, service: &str) -> Vec<String> {
+    pub fn unusable(&self, now: Instant, fleet: &Fleet, service: &str) -> Vec<String> {
         let listed = fleet.upstreams.iter();
         let of_service = listed.filter(|upstream| upstream.service == service);
         let avoided = of_service.filter(|upstream| !self.is_usable(now, &upstream.id));
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -7,12 +7,12 @@
 use crate::upstream_fixtures::engines;
 use crate::upstream_fixtures::fleet;
 use crate::upstream_fixtures::pending_prefill;
-use coordination::assignment::Ask;
-use coordination::assignment::Desk;
+use coordination::assignment::Assigner;
+use coordination::assignment::Request;
 use coordination::choice::Choice;
 use coordination::choice::Refusal;
 use coordination::demand::Demand;
-use coordination::dispatch::Dispatch;
+use coordination::dispatch::Dispatcher;
 use coordination::prefix_index::CacheLocation;
 use coordination::prefix_index::CachedPrefix;
 use coordination::upstream_load::LoadAggregator;
@@ -35,9 +35,9 @@
     }
 }
 
-fn ask(prefix_id: impl Into<String>) -> Ask {
-    Ask {
-        avoided: Vec::new(),
+fn ask(prefix_id: impl Into<String>) -> Request {
+    Request {
+        unusable: Vec::new(),
         demand: demand(prefix_id),
     }
 }
@@ -56,16 +56,16 @@
     let fleet = engines(ENGINES);
     let apart: Vec<String> = (0..PROMPTS)
         .map(|n| {
-            let mut host = Dispatch::new(n as u64);
+            let mut host = Dispatcher::new(n as u64);
             let choice = host.choose(Instant(0), &fleet, &demand(format!("p{n}")));
             choice.unwrap().upstream.id
         })
         .collect();
     assert!(most(&apart) > 1, "hosts that choose apart collide");
-    let mut desk = Desk::new(0);
+    let mut assigner = Assigner::new(0);
     let assigned: Vec<String> = (0..PROMPTS)
         .map(|n| {
-            let choice = desk.assign(
+            let choice = assigner.assign(
                 Instant(0),
                 &fleet,
                 &UpstreamLoads::new(),
@@ -79,41 +79,44 @@
 
 /// Notes an assigned prompt at its host and returns the host's report.
 fn report(
-    host: &mut Dispatch,
+    host: &mut Dispatcher,
     now: Instant,
     choice: &Choice,
     demand: &Demand,
 ) -> (Vec<u64>, UpstreamLoads) {
-    let _ = host.sent(now, choice, demand);
-    (host.grants(), host.loads(now))
+    let _ = host.record_sent(now, choice, demand);
+    (host.take_assignment_ids(), host.loads(now))
 }
 
 #[test]
 fn an_assignment_counts_once_before_and_after_its_host_reports_it() {
     let fleet = fleet(&[("e", 1)]);
-    let (mut desk, mut tally, mut host) =
-        (Desk::new(0), LoadAggregator::default(), Dispatch::new(1));
+    let (mut assigner, mut tally, mut host) = (
+        Assigner::new(0),
+        LoadAggregator::default(),
+        Dispatcher::new(1),
+    );
     let first = ask("p");
-    let choice = desk.assign(Instant(0), &fleet, tally.total(), first.clone());
+    let choice = assigner.assign(Instant(0), &fleet, tally.total(), first.clone());
     let choice = choice.unwrap();
     assert_eq!(choice.backlog_ms, 0);
     let late = Demand {
         first_token_left_ms: 100_000,
         ..demand("q")
     };
-    let next = || Ask {
-        avoided: Vec::new(),
+    let next = || Request {
+        unusable: Vec::new(),
         demand: late.clone(),
     };
-    let before = desk
+    let before = assigner
         .assign(Instant(50), &fleet, tally.total(), next())
         .unwrap();
-    let (covered, loads) = report(&mut host, Instant(60), &choice, &first.demand);
-    let (covered_next, _) = report(&mut Dispatch::new(2), Instant(60), &before, &late);
+    let (reported, loads) = report(&mut host, Instant(60), &choice, &first.demand);
+    let (reported_next, _) = report(&mut Dispatcher::new(2), Instant(60), &before, &late);
     tally.report(Instant(90), "h", loads);
-    desk.reported(Instant(90), &covered, &[]);
-    desk.reported(Instant(90), &covered_next, &[]);
-    let after = desk
+    assigner.record_report(Instant(90), &reported, &[]);
+    assigner.record_report(Instant(90), &reported_next, &[]);
+    let after = assigner
         .assign(Instant(91), &fleet, tally.total(), next())
         .unwrap();
     assert_eq!(before.backlog_ms, after.backlog_ms);
@@ -123,38 +126,40 @@
 #[test]
 fn an_assignment_of_a_host_that_never_reports_it_is_forgotten() {
     let fleet = fleet(&[("e", 1)]);
-    let mut desk = Desk::new(0);
-    let _ = desk
+    let mut assigner = Assigner::new(0);
+    let _ = assigner
         .assign(Instant(0), &fleet, &UpstreamLoads::new(), ask("p"))
         .unwrap();
-    let soon = desk.assign(Instant(1_000), &fleet, &UpstreamLoads::new(), ask("q"));
+    let soon = assigner.assign(Instant(1_000), &fleet, &UpstreamLoads::new(), ask("q"));
     assert_eq!(soon, Err(Refusal::Busy));
-    let later = desk.assign(Instant(1_001), &fleet, &UpstreamLoads::new(), ask("q"));
+    let later = assigner.assign(Instant(1_001), &fleet, &UpstreamLoads::new(), ask("q"));
     assert_eq!(later.unwrap().backlog_ms, 0);
 }
 
 #[test]
 fn an_engine_that_a_host_avoids_is_not_assigned_to_it() {
     let fleet = fleet(&[("e", 1), ("f", 1)]);
-    for avoided in ["e", "f"] {
-        let ask = Ask {
-            avoided: vec![avoided.to_owned()],
+    for unusable in ["e", "f"] {
+        let ask = Request {
+            unusable: vec![unusable.to_owned()],
             demand: demand("p"),
         };
-        let choice = Desk::new(0).assign(Instant(0), &fleet, &UpstreamLoads::new(), ask);
-        assert_ne!(choice.unwrap().upstream.id, avoided);
+        let choice = Assigner::new(0).assign(Instant(0), &fleet, &UpstreamLoads::new(), ask);
+        assert_ne!(choice.unwrap().upstream.id, unusable);
     }
 }
 
 #[test]
 fn a_prompt_that_an_engine_has_read_is_fetched_from_it_once_a_host_has_told_so() {
     let fleet = fleet(&[("e", 1), ("f", 1)]);
-    let mut desk = Desk::new(0);
+    let mut assigner = Assigner::new(0);
     let prefix = demand("p").prefix_key(1).unwrap();
     let location = CacheLocation::Engine("e".to_owned());
-    desk.reported(Instant(0), &[], &[CachedPrefix { location, prefix }]);
+    assigner.record_report(Instant(0), &[], &[CachedPrefix { location, prefix }]);
     let loads = UpstreamLoads::from([("e".to_owned(), pending_prefill(40_000))]);
-    let choice = desk.assign(Instant(1), &fleet, &loads, ask("p")).unwrap();
+    let choice = assigner
+        .assign(Instant(1), &fleet, &loads, ask("p"))
+        .unwrap();
     assert_eq!(choice.upstream.id, "f");
     assert_eq!(choice.fetch_from, Some(upstream_fixtures::address("e")));
 }
@@ -162,16 +167,20 @@
 #[test]
 fn a_host_tells_a_new_leader_what_it_has_told_the_one_before() {
     let fleet = fleet(&[("e", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = demand("p");
     let choice = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.sent(Instant(0), &choice, &demand);
-    host.read(Instant(500), &mut run);
-    let told = host.tell(Instant(600));
+    let mut run = host.record_sent(Instant(0), &choice, &demand);
+    host.record_prefill(Instant(500), &mut run);
+    let told = host.take_prefix_updates(Instant(600));
     assert_eq!(told.len(), 1);
-    assert_eq!(host.tell(Instant(700)), []);
-    host.tell_again(Instant(800));
-    assert_eq!(host.tell(Instant(800)), told);
-    host.tell_again(Instant(10_801));
-    assert_eq!(host.tell(Instant(10_801)), [], "it is too old to count");
+    assert_eq!(host.take_prefix_updates(Instant(700)), []);
+    host.resend_prefix_updates(Instant(800));
+    assert_eq!(host.take_prefix_updates(Instant(800)), told);
+    host.resend_prefix_updates(Instant(10_801));
+    assert_eq!(
+        host.take_prefix_updates(Instant(10_801)),
+        [],
+        "it is too old to count"
+    );
 }
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -15,7 +15,7 @@
 use coordination::choice::Rank;
 use coordination::choice::Refusal;
 use coordination::demand::Demand;
-use coordination::dispatch::Dispatch;
+use coordination::dispatch::Dispatcher;
 use coordination::upstream::Fleet;
 use coordination::upstream::Standing;
 use coordination::upstream_load::UpstreamLoad;
@@ -59,7 +59,7 @@
     for prompt in ["p1", "p2", "p3", "p4", "p5"] {
         let chosen: BTreeSet<String> = (0..8)
             .map(|seed| {
-                let mut host = Dispatch::new(seed);
+                let mut host = Dispatcher::new(seed);
                 let choice = host.choose(Instant(0), &fleet, &long(prompt)).unwrap();
                 choice.upstream.id
             })
@@ -71,22 +71,22 @@
 #[test]
 fn a_prompt_moves_on_while_its_engine_has_much_to_read_and_is_fetched_from_it() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.sent(Instant(0), &first, &demand);
+    let mut run = host.record_sent(Instant(0), &first, &demand);
     let others = BTreeMap::from([(first.upstream.id.clone(), pending_prefill(50_000))]);
-    host.heard_of(Instant(1), others.clone());
+    host.set_other_loads(Instant(1), others.clone());
     let early = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&early));
     assert_eq!(early.fetch_from, Some(address(STORE)), "it is not read yet");
-    host.read(Instant(300), &mut run);
+    host.record_prefill(Instant(300), &mut run);
     let later = host.choose(Instant(301), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&later));
     assert_eq!(later.fetch_from, Some(first.upstream.address));
-    let mut other = Dispatch::new(1);
-    other.heard_of(Instant(400), others);
-    other.heard_where(Instant(400), host.tell(Instant(400)));
+    let mut other = Dispatcher::new(1);
+    other.set_other_loads(Instant(400), others);
+    other.record_remote_prefixes(Instant(400), host.take_prefix_updates(Instant(400)));
     let told = other.choose(Instant(401), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&told));
     assert_eq!(told.fetch_from, Some(first.upstream.address));
@@ -95,13 +95,13 @@
 #[test]
 fn a_prompt_is_not_fetched_from_a_silent_engine() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.sent(Instant(0), &first, &demand);
-    host.answered(Instant(300), &mut run);
-    host.read(Instant(300), &mut run);
-    let _ = host.sent(Instant(300), &first, &short(0));
+    let mut run = host.record_sent(Instant(0), &first, &demand);
+    host.record_answer_head(Instant(300), &mut run);
+    host.record_prefill(Instant(300), &mut run);
+    let _ = host.record_sent(Instant(300), &first, &short(0));
     let next = host.choose(Instant(2_000), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&next));
     assert_eq!(next.fetch_from, Some(address(STORE)));
@@ -110,15 +110,15 @@
 #[test]
 fn a_single_request_at_a_busy_engine_is_left_there_while_other_hosts_hear_the_engine() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut alone = Dispatch::new(0);
-    let mut told = Dispatch::new(0);
+    let mut alone = Dispatcher::new(0);
+    let mut told = Dispatcher::new(0);
     let demand = long("p");
     let choice = alone.choose(Instant(0), &fleet, &demand).unwrap();
     let busy = pending_prefill(20_000);
     let hosts = [&mut alone, &mut told];
     let runs = hosts.map(|host| {
-        host.heard_of(Instant(0), BTreeMap::from([(id(&choice).to_owned(), busy)]));
-        host.sent(Instant(0), &choice, &demand)
+        host.set_other_loads(Instant(0), BTreeMap::from([(id(&choice).to_owned(), busy)]));
+        host.record_sent(Instant(0), &choice, &demand)
     });
     // What is ahead and the prompt itself take 0.8 s; the engine takes twice that and answers
     // other hosts meanwhile.
@@ -128,7 +128,7 @@
             last_byte_age_ms,
             ..busy
         };
-        told.heard_of(
+        told.set_other_loads(
             Instant(at),
             BTreeMap::from([(id(&choice).to_owned(), heard)]),
         );
@@ -140,11 +140,11 @@
 #[test]
 fn a_prompt_is_fetched_from_an_engine_that_ends_its_work_but_not_once_it_has_other_weights() {
     let mut fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.sent(Instant(0), &first, &demand);
-    host.read(Instant(300), &mut run);
+    let mut run = host.record_sent(Instant(0), &first, &demand);
+    host.record_prefill(Instant(300), &mut run);
     let place = fleet.upstreams.iter().position(|u| u.id == id(&first));
     let place = place.unwrap();
     for (standing, weights, fetch) in [
@@ -172,9 +172,9 @@
         ..short(random)
     };
     for (ahead, stays) in [(0, true), (5_000, true), (6_000, false)] {
-        let mut host = Dispatch::new(0);
+        let mut host = Dispatcher::new(0);
         let busy = open.map(|id| (id.to_owned(), pending_prefill(ahead)));
-        host.heard_of(Instant(0), BTreeMap::from(busy));
+        host.set_other_loads(Instant(0), BTreeMap::from(busy));
         for random in 0..200 {
             let random = u64::wrapping_mul(random, 0x9E37_79B9_7F4A_7C15);
             let choice = host.choose(Instant(1), &fleet, &demand(random)).unwrap();
@@ -186,9 +186,9 @@
 #[test]
 fn a_prompt_waits_while_all_engines_have_much_to_read() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let busy = ["a", "b"].map(|id| (id.to_owned(), pending_prefill(40_000)));
-    host.heard_of(Instant(0), BTreeMap::from(busy));
+    host.set_other_loads(Instant(0), BTreeMap::from(busy));
     let refusal = host.choose(Instant(1), &fleet, &long("p"));
     assert_eq!(refusal, Err(Refusal::Busy));
 }
@@ -196,9 +196,9 @@
 #[test]
 fn a_prompt_that_is_late_lets_those_in_time_go_first() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(15_000))]);
-    host.heard_of(Instant(0), busy);
+    host.set_other_loads(Instant(0), busy);
     let late = Demand {
         first_token_left_ms: 0,
         ..long("p")
@@ -215,10 +215,10 @@
         ..long("p")
     };
     for (idle, placed) in [(4, true), (3, true), (2, false), (1, false)] {
-        let mut host = Dispatch::new(0);
+        let mut host = Dispatcher::new(0);
         let busy = fleet.upstreams.iter().skip(idle);
         let busy = busy.map(|engine| (engine.id.clone(), pending_prefill(40_000)));
-        host.heard_of(Instant(0), busy.collect());
+        host.set_other_loads(Instant(0), busy.collect());
         let choice = host.choose(Instant(1), &fleet, &late);
         assert_eq!(choice.is_ok(), placed, "{idle} idle");
         assert_matches!(host.choose(Instant(1), &fleet, &long("p")), Ok(_));
@@ -228,15 +228,15 @@
 #[test]
 fn a_prompt_that_is_read_somewhere_bears_a_longer_queue_than_one_that_is_not() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.sent(Instant(0), &first, &demand);
-    host.answered(Instant(300), &mut run);
-    host.read(Instant(300), &mut run);
-    host.ended(&run);
+    let mut run = host.record_sent(Instant(0), &first, &demand);
+    host.record_answer_head(Instant(300), &mut run);
+    host.record_prefill(Instant(300), &mut run);
+    host.record_end(&run);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(30_000))]);
-    host.heard_of(Instant(300), busy);
+    host.set_other_loads(Instant(300), busy);
     assert_matches!(host.choose(Instant(301), &fleet, &demand), Ok(_));
     let unknown = host.choose(Instant(301), &fleet, &long("q"));
     assert_eq!(unknown, Err(Refusal::Busy));
@@ -245,22 +245,22 @@
 #[test]
 fn a_prompt_stays_where_it_was_read_while_it_begins_there_in_time() {
     let fleet = engines(12);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = long("p");
     let ranked = host.choose(Instant(0), &fleet, &demand).unwrap();
     let busy = BTreeMap::from([(id(&ranked).to_owned(), pending_prefill(50_000))]);
-    host.heard_of(Instant(1), busy);
+    host.set_other_loads(Instant(1), busy);
     let reader = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_ne!(id(&reader), id(&ranked));
-    let mut run = host.sent(Instant(2), &reader, &demand);
-    host.answered(Instant(400), &mut run);
-    host.read(Instant(400), &mut run);
-    host.ended(&run);
-    host.heard_of(Instant(401), BTreeMap::new());
+    let mut run = host.record_sent(Instant(2), &reader, &demand);
+    host.record_answer_head(Instant(400), &mut run);
+    host.record_prefill(Instant(400), &mut run);
+    host.record_end(&run);
+    host.set_other_loads(Instant(401), BTreeMap::new());
     let again = host.choose(Instant(402), &fleet, &demand).unwrap();
     assert_eq!(id(&again), id(&reader), "it has the prompt");
     let busy = BTreeMap::from([(id(&reader).to_owned(), pending_prefill(50_000))]);
-    host.heard_of(Instant(403), busy);
+    host.set_other_loads(Instant(403), busy);
     let late = host.choose(Instant(404), &fleet, &demand).unwrap();
     assert_eq!(id(&late), id(&ranked), "it would be late where it was read");
     assert_eq!(late.fetch_from, Some(reader.upstream.address));
@@ -268,11 +268,11 @@
 
 /// Fills the engines to which a host sends a prompt one by one until it sends it nowhere.
 fn filled(seed: u64, fleet: &Fleet, prefix_id: &str) -> BTreeSet<String> {
-    let mut host = Dispatch::new(seed);
+    let mut host = Dispatcher::new(seed);
     let mut loads = BTreeMap::new();
     while let Ok(choice) = host.choose(Instant(0), fleet, &long(prefix_id)) {
         loads.insert(id(&choice).to_owned(), pending_prefill(50_000));
-        host.heard_of(Instant(0), loads.clone());
+        host.set_other_loads(Instant(0), loads.clone());
     }
     loads.into_keys().collect()
 }
@@ -302,22 +302,22 @@
 #[test]
 fn a_prompt_too_long_to_be_in_time_goes_once_little_is_ahead_of_it() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let huge = Demand {
         prompt_tokens: 80_000,
         ..long("p")
     };
     let load = |tokens| BTreeMap::from([("a".to_owned(), pending_prefill(tokens))]);
-    host.heard_of(Instant(0), load(20_000));
+    host.set_other_loads(Instant(0), load(20_000));
     assert_eq!(host.choose(Instant(0), &fleet, &huge), Err(Refusal::Busy));
-    host.heard_of(Instant(1), load(4_000));
+    host.set_other_loads(Instant(1), load(4_000));
     assert_matches!(host.choose(Instant(1), &fleet, &huge), Ok(_));
 }
 
 #[test]
 fn long_prompts_in_time_are_read_before_short_ones_and_late_ones_after() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let late = Demand {
         first_token_left_ms: 0,
         ..long("p")
@@ -335,7 +335,7 @@
 #[test]
 fn older_weights_in_time_come_before_the_newest_late() {
     let fleet = fleet(&[("new", 2), ("old", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = Demand {
         newest_weights: 2,
         prompt_tokens: 30_000,
@@ -346,7 +346,7 @@
         id(&host.choose(Instant(0), &fleet, &demand).unwrap()),
         "new"
     );
-    host.heard_of(Instant(1), load(10_000));
+    host.set_other_loads(Instant(1), load(10_000));
     assert_eq!(
         id(&host.choose(Instant(1), &fleet, &demand).unwrap()),
         "old"
@@ -356,28 +356,28 @@
 #[test]
 fn an_upstream_is_offered_only_where_it_would_be_chosen() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let moved = Demand {
         tried: vec!["a".to_owned()],
         ..long("p")
     };
-    assert!(host.offers(Instant(0), &fleet, &moved));
+    assert!(host.can_place(Instant(0), &fleet, &moved));
     let busy = BTreeMap::from([("b".to_owned(), pending_prefill(90_000))]);
-    host.heard_of(Instant(0), busy);
-    assert!(!host.offers(Instant(0), &fleet, &moved));
+    host.set_other_loads(Instant(0), busy);
+    assert!(!host.can_place(Instant(0), &fleet, &moved));
     let exact = Demand {
         exact_weights: Some(2),
         ..moved
     };
-    assert!(!host.offers(Instant(5_000), &fleet, &exact));
+    assert!(!host.can_place(Instant(5_000), &fleet, &exact));
 }
 
 #[test]
 fn what_cannot_begin_before_the_caller_leaves_is_refused_at_once() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(200_000))]);
-    host.heard_of(Instant(0), busy);
+    host.set_other_loads(Instant(0), busy);
     let hurried = Demand {
         left_ms: 1_000,
         ..short(0)
@@ -389,22 +389,22 @@
 #[test]
 fn what_others_have_under_way_is_forgotten_when_nobody_tells_it_again() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(40_000))]);
-    host.heard_of(Instant(0), busy);
+    host.set_other_loads(Instant(0), busy);
     assert_matches!(host.choose(Instant(1_001), &fleet, &long("p")), Ok(_));
 }
 
 #[test]
 fn short_prompts_spread_over_the_engines() {
     let fleet = fleet(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let mut sent: BTreeMap<String, u32> = BTreeMap::new();
     for place in 0..400_u64 {
         let random = place.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let demand = short(random);
         let choice = host.choose(Instant(0), &fleet, &demand).unwrap();
-        let _ = host.sent(Instant(0), &choice, &demand);
+        let _ = host.record_sent(Instant(0), &choice, &demand);
         *sent.entry(choice.upstream.id).or_default() += 1;
     }
     assert!(
@@ -416,7 +416,7 @@
 #[test]
 fn engines_with_the_newest_weights_come_first() {
     let fleet = fleet(&[("a", 1), ("b", 2), ("c", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     for random in 0..20 {
         let demand = Demand {
             newest_weights: 2,
@@ -431,7 +431,7 @@
 fn no_request_goes_to_weights_below_the_floor() {
     let mut fleet = fleet(&[("a", 1), ("b", 1)]);
     fleet.floors.insert("m".to_owned(), 2);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let refusal = host.choose(Instant(0), &fleet, &short(0));
     assert_eq!(refusal, Err(Refusal::NoUpstream));
 }
@@ -441,7 +441,7 @@
     let mut fleet = fleet(&[("a", 1), ("b", 1), ("c", 1)]);
     fleet.upstreams[0].standing = Standing::Leaving;
     fleet.upstreams[1].standing = Standing::Loading;
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     for random in 0..20 {
         let choice = host.choose(Instant(0), &fleet, &short(random)).unwrap();
         assert_eq!(id(&choice), "c");
@@ -451,7 +451,7 @@
 #[test]
 fn a_shared_prompt_goes_to_the_store_once_and_comes_from_there() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let first = host.choose(Instant(0), &fleet, &long("p")).unwrap();
     assert_eq!(first.save_to, Some(address(STORE)));
     assert_eq!(first.fetch_from, Some(address(STORE)));
@@ -469,12 +469,12 @@
 fn a_prompt_is_not_fetched_from_an_engine_that_had_it_under_other_weights() {
     let old = fleet(&[("a", 1), ("b", 1)]);
     let new = fleet(&[("a", 2), ("b", 2)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = long("p");
     let choice = host.choose(Instant(0), &old, &demand).unwrap();
-    let _ = host.sent(Instant(0), &choice, &demand);
+    let _ = host.record_sent(Instant(0), &choice, &demand);
     let busy = BTreeMap::from([(choice.upstream.id.clone(), pending_prefill(40_000))]);
-    host.heard_of(Instant(1), busy);
+    host.set_other_loads(Instant(1), busy);
     let next = host.choose(Instant(2), &new, &demand).unwrap();
     assert_ne!(id(&next), id(&choice));
     assert_eq!(next.fetch_from, Some(address(STORE)));
@@ -483,7 +483,7 @@
 #[test]
 fn an_upstream_that_failed_a_request_does_not_get_it_again() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = Demand {
         tried: vec!["a".to_owned()],
         ..short(0)
@@ -494,20 +494,20 @@
 #[test]
 fn a_silent_engine_is_left_and_used_again_once_it_answers() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = short(0);
     let only_a = Demand {
         tried: vec!["b".to_owned()],
         ..demand.clone()
     };
     let choice = host.choose(Instant(0), &fleet, &only_a).unwrap();
-    let mut run = host.sent(Instant(0), &choice, &demand);
+    let mut run = host.record_sent(Instant(0), &choice, &demand);
     for random in 0..20 {
         let late = host.choose(Instant(2_000), &fleet, &short(random)).unwrap();
         assert_eq!(id(&late), "b");
     }
-    host.answered(Instant(2_001), &mut run);
-    host.ended(&run);
+    host.record_answer_head(Instant(2_001), &mut run);
+    host.record_end(&run);
     let used: BTreeSet<String> = (0..20)
         .map(|random| {
             let choice = host.choose(Instant(2_002), &fleet, &short(random)).unwrap();
@@ -520,7 +520,7 @@
 #[test]
 fn an_engine_gets_no_more_long_prompts_than_its_memory_holds() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = Demand {
         memory_tokens: Some(100_000),
         ..long("p")
@@ -533,15 +533,15 @@
     };
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
     let others = BTreeMap::from([(first.upstream.id.clone(), held(68_000))]);
-    host.heard_of(Instant(1), others);
+    host.set_other_loads(Instant(1), others);
     let second = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_eq!(id(&first), id(&second), "17,000 more make 85 in 100");
     let others = BTreeMap::from([(first.upstream.id.clone(), held(68_001))]);
-    host.heard_of(Instant(3), others);
+    host.set_other_loads(Instant(3), others);
     let third = host.choose(Instant(4), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&third));
     let full = ["a", "b"].map(|id| (id.to_owned(), held(68_001)));
-    host.heard_of(Instant(5), BTreeMap::from(full));
+    host.set_other_loads(Instant(5), BTreeMap::from(full));
     let refusal = host.choose(Instant(6), &fleet, &demand);
     assert_eq!(refusal, Err(Refusal::Busy));
     let unknown = host.choose(Instant(7), &fleet, &long("p"));
@@ -551,7 +551,7 @@
 #[test]
 fn a_prompt_longer_than_that_goes_to_an_engine_that_has_no_other() {
     let fleet = fleet(&[("a", 1)]);
-    let mut host = Dispatch::new(0);
+    let mut host = Dispatcher::new(0);
     let demand = Demand {
         first_token_left_ms: 10_000,
         memory_tokens: Some(100_000),
@@ -559,10 +559,10 @@
         ..long("p")
     };
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.sent(Instant(0), &first, &demand);
+    let mut run = host.record_sent(Instant(0), &first, &demand);
     let second = host.choose(Instant(1), &fleet, &demand);
     assert_eq!(second, Err(Refusal::Busy));
-    host.answered(Instant(2_000), &mut run);
-    host.ended(&run);
+    host.record_answer_head(Instant(2_000), &mut run);
+    host.record_end(&run);
     assert!(host.choose(Instant(2_001), &fleet, &demand).is_ok());
 }
--- a/crates/hibiscushoistd/src/daemon.rs
+++ b/crates/hibiscushoistd/src/daemon.rs
@@ -47,7 +47,7 @@
 use crate::suspects::Suspects;
 use crate::voter;
 use crate::voter_start;
-use coordination::assignment::Desk;
+use coordination::assignment::Assigner;
 use coordination::drain;
 use coordination::drain::Drain;
 use coordination::drain::Effect;
@@ -183,7 +183,7 @@
             broker,
             bulletin: Arc::default(),
             clock,
-            desk: Arc::new(Mutex::new(Desk::new(rand::random()))),
+            desk: Arc::new(Mutex::new(Assigner::new(rand::random()))),
             fleet,
             member,
             suspects,
--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -22,7 +22,7 @@
 use crate::outlook;
 use crate::outlook::Known;
 use crate::request::Request;
-use coordination::dispatch::Dispatch;
+use coordination::dispatch::Dispatcher;
 use coordination::host::Role;
 use coordination::outage::Outage;
 use coordination::retry::Policy;
@@ -56,7 +56,7 @@
 /// Holds what routed requests share on this host.
 pub struct Gateway {
     /// Chooses upstreams.
-    pub dispatch: Mutex<Dispatch>,
+    pub dispatch: Mutex<Dispatcher>,
     /// Holds the connections to upstreams.
     pub lanes: Lanes,
     /// Shows what this host knows.
@@ -69,7 +69,7 @@
     /// Returns a gateway that has sent nothing.
     pub fn new(outlook: outlook::Handle) -> Self {
         Self {
-            dispatch: Mutex::new(Dispatch::new(rand::random())),
+            dispatch: Mutex::new(Dispatcher::new(rand::random())),
             lanes: Lanes::default(),
             outlook,
             retries: Mutex::new(RetryBudgets::new(budget(0, 0, 1), rand::random())),
@@ -77,7 +77,7 @@
     }
 
     /// Returns the chooser of upstreams.
-    pub fn dispatch(&self) -> MutexGuard<'_, Dispatch> {
+    pub fn dispatch(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/hibiscushoistd/src/gateway_attempt.rs
+++ b/crates/hibiscushoistd/src/gateway_attempt.rs
@@ -18,7 +18,7 @@
 use crate::gateway_run::may_move;
 use coordination::choice::Choice;
 use coordination::demand::Demand;
-use coordination::dispatch::Run;
+use coordination::dispatch::InFlight;
 use coordination::retry;
 use platform::answer::Facts;
 use platform::caller;
@@ -43,7 +43,7 @@
 pub struct Underway {
     gateway: Arc<Gateway>,
     /// Names the request to the dispatch.
-    pub run: Run,
+    pub run: InFlight,
 }
 
 impl Underway {
@@ -55,7 +55,7 @@
 
 impl Drop for Underway {
     fn drop(&mut self) {
-        self.gateway.dispatch().ended(&self.run);
+        self.gateway.dispatch().record_end(&self.run);
     }
 }
 
@@ -135,7 +135,7 @@
     let Some(request) = request(routed, headers) else {
         return Attempt::Rejected;
     };
-    let run = gateway.dispatch().sent(begun, choice, demand);
+    let run = gateway.dispatch().record_sent(begun, choice, demand);
     let mut underway = Underway {
         gateway: gateway.clone(),
         run,
@@ -146,7 +146,7 @@
         sent = sending => sent,
         reason = given_up(context, routed, progress, choice, &underway) => {
             if reason == retry::Reason::Idle {
-                gateway.dispatch().failed(context.clock.now(), &underway.run);
+                gateway.dispatch().record_failure(context.clock.now(), &underway.run);
             }
             return Attempt::Failed { may_have_run: true, reason };
         }
@@ -154,7 +154,7 @@
     let now = context.clock.now();
     let (response, lane) = match sent {
         Err(error) => {
-            gateway.dispatch().failed(now, &underway.run);
+            gateway.dispatch().record_failure(now, &underway.run);
             let reason = match error.not_sent() {
                 false => retry::Reason::Cut,
                 true => retry::Reason::Connect,
@@ -175,23 +175,23 @@
         };
     }
     let mut dispatch = gateway.dispatch();
-    dispatch.answered(now, &mut underway.run);
+    dispatch.record_answer_head(now, &mut underway.run);
     if let Some((model, version)) = demand.model.as_ref().zip(facts.weights) {
-        dispatch.learned(&underway.run, model.clone(), version);
+        dispatch.record_weights(&underway.run, model.clone(), version);
     }
     if facts.not_run {
-        dispatch.refused(now, &underway.run);
+        dispatch.record_refusal(now, &underway.run);
         return Attempt::Rejected;
     }
     if !facts.stamped {
-        dispatch.failed(now, &underway.run);
+        dispatch.record_failure(now, &underway.run);
         return Attempt::Failed {
             may_have_run: true,
             reason: retry::Reason::Format,
         };
     }
     if response.status().is_success() {
-        dispatch.read(now, &mut underway.run);
+        dispatch.record_prefill(now, &mut underway.run);
     }
     drop(dispatch);
     Attempt::Answered(Box::new(Answered {
--- a/crates/hibiscushoistd/src/gateway_body.rs
+++ b/crates/hibiscushoistd/src/gateway_body.rs
@@ -82,14 +82,14 @@
             Poll::Ready(Some(Err(error))) => {
                 let now = self.context.clock.now();
                 let gateway = self.underway.gateway().clone();
-                gateway.dispatch().failed(now, &self.underway.run);
+                gateway.dispatch().record_failure(now, &self.underway.run);
                 self.account.end(Outcome::Cut);
                 Poll::Ready(Some(Err(io::Error::other(error))))
             }
             Poll::Ready(Some(Ok(frame))) => {
                 let now = self.context.clock.now();
                 let gateway = self.underway.gateway().clone();
-                gateway.dispatch().heard(now, &self.underway.run);
+                gateway.dispatch().record_byte(now, &self.underway.run);
                 if self.body.is_end_stream() {
                     self.complete();
                 }
--- a/crates/hibiscushoistd/src/gateway_place.rs
+++ b/crates/hibiscushoistd/src/gateway_place.rs
@@ -9,7 +9,7 @@
 use crate::gateway_attempt;
 use crate::gateway_run::Progress;
 use crate::outlook::Known;
-use coordination::assignment::Ask;
+use coordination::assignment::Request;
 use coordination::choice::Choice;
 use coordination::choice::Refusal;
 use coordination::demand::Demand;
@@ -65,10 +65,10 @@
     let pool = context.pool.as_ref()?;
     let known = gateway.outlook.known();
     let now = context.clock.now();
-    let ask = Ask {
-        avoided: gateway
+    let ask = Request {
+        unusable: gateway
             .dispatch()
-            .avoided(now, &known.fleet, &demand.service),
+            .unusable(now, &known.fleet, &demand.service),
         demand: demand.clone(),
     };
     let client = pool.client(leader, None);
@@ -103,7 +103,7 @@
     let demand = demand(context, gateway, routed, progress);
     let known = gateway.outlook.known();
     let now = context.clock.now();
-    gateway.dispatch().offers(now, &known.fleet, &demand)
+    gateway.dispatch().can_place(now, &known.fleet, &demand)
 }
 
 /// Returns whether a request may wait for room any longer.
@@ -120,8 +120,8 @@
     let newest = model.as_ref().and_then(|model| known.weights.get(model));
     let now = context.clock.now();
     let waited = now.since(routed.arrived);
-    let shared = shared(routed).filter(|_| progress.exact_weights.is_none());
-    let connected = match shared {
+    let shared_prefix = shared(routed).filter(|_| progress.exact_weights.is_none());
+    let connected = match shared_prefix {
         None => gateway.lanes.idle(gateway_attempt::limits(routed)),
         Some(_) => Vec::new(),
     };
@@ -137,7 +137,7 @@
         model,
         prompt_tokens: routed.facts.prompt_tokens,
         service: routed.service.clone(),
-        shared_prefix: shared,
+        shared_prefix,
         stores: stores(&known),
         tried: progress.tried.clone(),
         isolated_workspace: routed
--- a/crates/hibiscushoistd/src/gateway_run.rs
+++ b/crates/hibiscushoistd/src/gateway_run.rs
@@ -165,7 +165,7 @@
                 Attempt::Answered(answered) => {
                     if answered.status().is_server_error() {
                         let run = &answered.underway.run;
-                        gateway.dispatch().failed(context.clock.now(), run);
+                        gateway.dispatch().record_failure(context.clock.now(), run);
                         if repeats(context, gateway, routed, progress, &choice) {
                             continue;
                         }
@@ -322,7 +322,7 @@
 ) -> Response<Body> {
     let head = answered.returned_head();
     let gateway = answered.underway.gateway().clone();
-    gateway.dispatch().succeeded(&answered.underway.run);
+    gateway.dispatch().record_success(&answered.underway.run);
     let body = gateway_body::Pass::new(context, answered, routed.deadline, account);
     Response::from_parts(head, Body::new(body))
 }
@@ -343,7 +343,7 @@
         Ok(Ok(whole)) => whole.to_bytes(),
     };
     if !head.status.is_server_error() {
-        underway.gateway().dispatch().succeeded(&underway.run);
+        underway.gateway().dispatch().record_success(&underway.run);
     }
     if let Some(idle) = keep {
         tokio::spawn(lane.keep(idle));
--- a/crates/hibiscushoistd/src/gateway_stream.rs
+++ b/crates/hibiscushoistd/src/gateway_stream.rs
@@ -160,7 +160,7 @@
                         continue;
                     }
                     let now = context.clock.now();
-                    gateway.dispatch().failed(now, &underway.run);
+                    gateway.dispatch().record_failure(now, &underway.run);
                     return End::Broken(Reason::Idle);
                 }
                 () = sleep_until(self.until) => return End::Deadline,
@@ -170,7 +170,7 @@
             let now = self.context.clock.now();
             let bytes = match frame {
                 None => {
-                    self.gateway.dispatch().succeeded(&underway.run);
+                    self.gateway.dispatch().record_success(&underway.run);
                     let rest = self.splitter.finish();
                     if let Some(idle) = keep {
                         tokio::spawn(lane.keep(idle));
@@ -181,12 +181,12 @@
                     };
                 }
                 Some(Err(_)) => {
-                    self.gateway.dispatch().failed(now, &underway.run);
+                    self.gateway.dispatch().record_failure(now, &underway.run);
                     return End::Broken(Reason::Cut);
                 }
                 Some(Ok(bytes)) => bytes,
             };
-            self.gateway.dispatch().heard(now, &underway.run);
+            self.gateway.dispatch().record_byte(now, &underway.run);
             let whole = self.splitter.push(&bytes);
             if !whole.is_empty() && !self.send(whole).await {
                 return End::Caller;
--- a/crates/hibiscushoistd/src/outlook.rs
+++ b/crates/hibiscushoistd/src/outlook.rs
@@ -140,7 +140,9 @@
                 }
                 Err(hint) => {
                     if let Some(gateway) = &context.gateway {
-                        gateway.dispatch().tell_again(context.clock.now());
+                        gateway
+                            .dispatch()
+                            .resend_prefix_updates(context.clock.now());
                     }
                     leader = hint.filter(|hint| *hint != target);
                     tokio::time::sleep(PAUSE).await;
@@ -162,9 +164,9 @@
         let shared = context.gateway.as_ref().map(|gateway| {
             let mut dispatch = gateway.dispatch();
             (
-                dispatch.grants(),
+                dispatch.take_assignment_ids(),
                 dispatch.loads(asked),
-                dispatch.tell(asked),
+                dispatch.take_prefix_updates(asked),
             )
         });
         let (grants, loads, told) = shared.unwrap_or_default();
@@ -197,10 +199,10 @@
             let loads = std::mem::take(&mut outlook.loads);
             let cached_prefixes = std::mem::take(&mut outlook.cached_prefixes);
             let mut dispatch = gateway.dispatch();
-            dispatch.heard_of(now, loads);
-            dispatch.heard_where(now, cached_prefixes);
+            dispatch.set_other_loads(now, loads);
+            dispatch.record_remote_prefixes(now, cached_prefixes);
             if heard.term != outlook.mark.term {
-                dispatch.tell_again(now);
+                dispatch.resend_prefix_updates(now);
             }
         }
         *heard = outlook.mark;
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -21,7 +21,7 @@
 use coordination::admission::Reason;
 use coordination::admission::Refusal;
 use coordination::assignment;
-use coordination::assignment::Desk;
+use coordination::assignment::Assigner;
 use coordination::broker;
 use coordination::broker::Grant;
 use coordination::broker::InFlightRequest;
@@ -65,7 +65,7 @@
     /// Reads the clock.
     pub clock: Clock,
     /// Assigns engines to long prompts while this host leads.
-    pub desk: Arc<Mutex<Desk>>,
+    pub desk: Arc<Mutex<Assigner>>,
     /// Shows the upstreams of routed services, as this host published them while it led.
     pub fleet: watch::Receiver<Arc<Fleet>>,
     /// Reaches the duty that knows the fleet.
@@ -148,7 +148,7 @@
         let table = &reading.routed.table;
         let now = self.clock.now();
         let mut desk = self.desk.lock().unwrap_or_else(PoisonError::into_inner);
-        desk.reported(now, &ask.grants, &ask.told);
+        desk.record_report(now, &ask.grants, &ask.told);
         drop(desk);
         let mut bulletin = self.bulletin.lock().unwrap_or_else(PoisonError::into_inner);
         let (cached_prefixes, mark) =
@@ -174,7 +174,7 @@
     async fn assign(
         self,
         _: Context,
-        ask: assignment::Ask,
+        ask: assignment::Request,
     ) -> Result<Result<Choice, choice::Refusal>, Rejection> {
         let status = self.voter.status().ok_or(Rejection::Ended)?;
         if !status.leads {
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -63,5 +63,6 @@
     /// Returns the operator's text of the routed table; only the voter that leads can.
     async fn source() -> Result<Arc<String>, Rejection>;
     /// Assigns an engine to a long prompt; only the host whose voter leads can.
-    async fn assign(ask: assignment::Ask) -> Result<Result<Choice, choice::Refusal>, Rejection>;
+    async fn assign(ask: assignment::Request)
+    -> Result<Result<Choice, choice::Refusal>, Rejection>;
 }
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -126,7 +126,7 @@
     async fn assign(
         self,
         _: Context,
-        _: assignment::Ask,
+        _: assignment::Request,
     ) -> Result<Result<Choice, choice::Refusal>, Rejection> {
         Err(Rejection::Ended)
     }
