--- a/crates/coordination/src/outlook.rs
+++ b/crates/coordination/src/routing_update.rs
@@ -20,26 +20,26 @@
 
 /// Asks for what a host lacks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct Request {
     /// Gives the edition of the fleet that the host has.
     pub edition: Edition,
     /// Lists the assignments that what the host has under way covers since it asked last.
-    pub grants: Vec<u64>,
+    pub assignment_ids: Vec<u64>,
     /// Names the last entry of the bulletin that the host has.
-    pub heard: Position,
+    pub prefix_position: Position,
     /// Names the host.
     pub host: String,
     /// Tells what the host has under way at upstreams.
     pub loads: UpstreamLoads,
     /// Tells where the host has seen shared prompts since it asked last.
-    pub told: Vec<CachedPrefix>,
+    pub cached_prefixes: Vec<CachedPrefix>,
     /// Gives the version of the routed table that the host has.
-    pub version: u64,
+    pub table_version: u64,
 }
 
 /// Holds what a host lacks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Outlook {
+pub struct RoutingUpdate {
     /// Holds the upstreams, where the host lacks this edition.
     pub fleet: Option<Fleet>,
     /// Tells where other hosts have seen shared prompts.
@@ -47,7 +47,7 @@
     /// Tells what other hosts have under way at upstreams.
     pub loads: UpstreamLoads,
     /// Names the last entry of the bulletin.
-    pub mark: Position,
+    pub prefix_position: Position,
     /// Holds the routed table, where the host lacks this version.
     pub table: Option<Arc<Table>>,
     /// Gives the newest weights version of each model.
@@ -57,7 +57,7 @@
 /// Counts the age of what a host knows.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    asked: Option<Instant>,
+    requested_at: Option<Instant>,
     limit_ms: u64,
 }
 
@@ -66,24 +66,25 @@
     /// `limit_ms`.
     pub fn new(limit_ms: u64) -> Self {
         Self {
-            asked: None,
+            requested_at: None,
             limit_ms,
         }
     }
 
     /// Notes that an ask sent at `asked` was answered.
-    pub fn confirm(&mut self, asked: Instant) {
-        self.asked = self.asked.max(Some(asked));
+    pub fn confirm(&mut self, requested_at: Instant) {
+        self.requested_at = self.requested_at.max(Some(requested_at));
     }
 
     /// Returns whether the host may rely on what it knows.
-    pub fn holds(&self, now: Instant) -> bool {
+    pub fn is_fresh(&self, now: Instant) -> bool {
         let age = self.age_ms(now);
         age.is_some_and(|age| age < self.limit_ms)
     }
 
     /// Returns the age, if anything is known.
     pub fn age_ms(&self, now: Instant) -> Option<u64> {
-        self.asked.map(|asked| now.since(asked))
+        self.requested_at
+            .map(|requested_at| now.since(requested_at))
     }
 }
--- a/crates/coordination/tests/routed.rs
+++ b/crates/coordination/tests/routed.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use coordination::outlook::Freshness;
+use coordination::routing_update::Freshness;
 use coordination::unresponsive::PATH_TIMEOUT_MS;
 use coordination::unresponsive::TIMEOUT_MS;
 use coordination::unresponsive::UnresponsiveDetector;
@@ -111,10 +111,10 @@
 #[test]
 fn a_host_counts_the_age_of_what_it_knows_from_when_it_asked() {
     let mut freshness = Freshness::new(4_000);
-    assert!(!freshness.holds(Instant(0)));
+    assert!(!freshness.is_fresh(Instant(0)));
     freshness.confirm(Instant(1_000));
-    assert!(freshness.holds(Instant(4_999)));
-    assert!(!freshness.holds(Instant(5_000)));
+    assert!(freshness.is_fresh(Instant(4_999)));
+    assert!(!freshness.is_fresh(Instant(5_000)));
     freshness.confirm(Instant(500));
     assert_eq!(freshness.age_ms(Instant(1_500)), Some(500));
 }
--- a/crates/hibiscushoistd/src/outlook.rs
+++ b/crates/hibiscushoistd/src/outlook.rs
@@ -11,10 +11,10 @@
 
 use crate::context::Context;
 use coordination::host::Role;
-use coordination::outlook::Ask;
-use coordination::outlook::Freshness;
-use coordination::outlook::Outlook;
 use coordination::prefix_log::Position;
+use coordination::routing_update::Freshness;
+use coordination::routing_update::Request;
+use coordination::routing_update::RoutingUpdate;
 use coordination::upstream::Fleet;
 use protocol::voter::Rejection;
 use state::routing_index::RoutingIndex;
@@ -60,7 +60,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let known = self.known.borrow().clone();
-        let usable = freshness.holds(context.clock.now()) && known.index.table().version > 0;
+        let usable = freshness.is_fresh(context.clock.now()) && known.index.table().version > 0;
         usable.then_some(known)
     }
 
@@ -169,15 +169,15 @@
                 dispatch.take_prefix_updates(asked),
             )
         });
-        let (grants, loads, told) = shared.unwrap_or_default();
-        let ask = Ask {
+        let (assignment_ids, loads, cached_prefixes) = shared.unwrap_or_default();
+        let ask = Request {
             edition: known.fleet.edition,
-            grants,
-            heard: *heard,
+            assignment_ids,
+            prefix_position: *heard,
             host: context.settings.name.clone(),
             loads,
-            told,
-            version: known.index.table().version,
+            cached_prefixes,
+            table_version: known.index.table().version,
         };
         let client = pool.client(target, None);
         let call = client.call(CALL_LIMIT, |peer, call| async move {
@@ -201,11 +201,11 @@
             let mut dispatch = gateway.dispatch();
             dispatch.set_other_loads(now, loads);
             dispatch.record_remote_prefixes(now, cached_prefixes);
-            if heard.term != outlook.mark.term {
+            if heard.term != outlook.prefix_position.term {
                 dispatch.resend_prefix_updates(now);
             }
         }
-        *heard = outlook.mark;
+        *heard = outlook.prefix_position;
         self.take(context, &known, outlook);
         let mut freshness = self
             .freshness
@@ -215,7 +215,7 @@
         Ok(())
     }
 
-    fn take(&self, context: &Context, known: &Known, outlook: Outlook) {
+    fn take(&self, context: &Context, known: &Known, outlook: RoutingUpdate) {
         let newer = |table: &Arc<_>| {
             let table: &Arc<state::routing::Table> = table;
             table.version > known.index.table().version
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -29,10 +29,10 @@
 use coordination::choice;
 use coordination::choice::Choice;
 use coordination::gossip::Message;
-use coordination::outlook;
-use coordination::outlook::Outlook;
 use coordination::prefix_log::PrefixLog;
 use coordination::quarantine;
+use coordination::routing_update;
+use coordination::routing_update::RoutingUpdate;
 use coordination::state_machine::Answer;
 use coordination::state_machine::Command;
 use coordination::upstream::Fleet;
@@ -141,27 +141,35 @@
         let _ = self.broker.feed(broker::Event::InFlight(held));
     }
 
-    async fn outlook(self, _: Context, ask: outlook::Ask) -> Result<Outlook, Rejection> {
+    async fn outlook(
+        self,
+        _: Context,
+        ask: routing_update::Request,
+    ) -> Result<RoutingUpdate, Rejection> {
         let reading = self.voter.read_here().await?;
         let fleet = self.fleet.borrow().clone();
         let fleet = (fleet.edition > ask.edition).then(|| (*fleet).clone());
         let table = &reading.routed.table;
         let now = self.clock.now();
         let mut desk = self.desk.lock().unwrap_or_else(PoisonError::into_inner);
-        desk.record_report(now, &ask.grants, &ask.told);
+        desk.record_report(now, &ask.assignment_ids, &ask.cached_prefixes);
         drop(desk);
         let mut bulletin = self.bulletin.lock().unwrap_or_else(PoisonError::into_inner);
-        let (cached_prefixes, mark) =
-            bulletin.exchange(reading.term, &ask.host, ask.told, ask.heard);
+        let (cached_prefixes, prefix_position) = bulletin.exchange(
+            reading.term,
+            &ask.host,
+            ask.cached_prefixes,
+            ask.prefix_position,
+        );
         drop(bulletin);
         let mut tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner);
         let loads = tally.report(now, ask.host, ask.loads);
-        Ok(Outlook {
+        Ok(RoutingUpdate {
             fleet,
             cached_prefixes,
             loads,
-            mark,
-            table: (table.version > ask.version).then(|| table.clone()),
+            prefix_position,
+            table: (table.version > ask.table_version).then(|| table.clone()),
             weights: reading.routed.weights_versions.clone(),
         })
     }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -18,9 +18,9 @@
 use coordination::choice;
 use coordination::choice::Choice;
 use coordination::gossip::Message;
-use coordination::outlook;
-use coordination::outlook::Outlook;
 use coordination::quarantine;
+use coordination::routing_update;
+use coordination::routing_update::RoutingUpdate;
 use coordination::state_machine::Answer;
 use coordination::state_machine::Command;
 
@@ -59,7 +59,7 @@
     /// Reports a request again to the new owner of its upstream.
     async fn hold(held: InFlightRequest);
     /// Tells what a host that serves callers lacks; only the voter that leads can.
-    async fn outlook(ask: outlook::Ask) -> Result<Outlook, Rejection>;
+    async fn outlook(ask: routing_update::Request) -> Result<RoutingUpdate, Rejection>;
     /// Returns the operator's text of the routed table; only the voter that leads can.
     async fn source() -> Result<Arc<String>, Rejection>;
     /// Assigns an engine to a long prompt; only the host whose voter leads can.
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -27,9 +27,9 @@
 use coordination::gossip::Body;
 use coordination::gossip::Message;
 use coordination::host::Version;
-use coordination::outlook;
-use coordination::outlook::Outlook;
 use coordination::quarantine;
+use coordination::routing_update;
+use coordination::routing_update::RoutingUpdate;
 use coordination::state_machine::Answer;
 use coordination::state_machine::Command;
 use protocol::operator::History;
@@ -115,7 +115,11 @@
 
     async fn hold(self, _: Context, _: InFlightRequest) {}
 
-    async fn outlook(self, _: Context, _: outlook::Ask) -> Result<Outlook, Rejection> {
+    async fn outlook(
+        self,
+        _: Context,
+        _: routing_update::Request,
+    ) -> Result<RoutingUpdate, Rejection> {
         Err(Rejection::Ended)
     }
 
