--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -59,7 +59,7 @@
 const CONNECTION_DIVISOR: u64 = 20;
 /// Bounds the engines that are weighed for a long prompt, the first in its order, so that a choice
 /// costs no more in a larger fleet; as many as a shard has.
-const WEIGHED: usize = shard::UPSTREAMS;
+const WEIGHED: usize = shard::UPSTREAMS_PER_SHARD;
 /// Gives the share of a prompt's reading that fetching it takes, as a divisor.
 const FETCH_DIVISOR: u64 = 8;
 
--- a/crates/coordination/src/rotation.rs
+++ b/crates/coordination/src/rotation.rs
@@ -9,9 +9,9 @@
     /// Means that it brought a newer table.
     Newer,
     /// Means that it did not answer, or with nothing that can be used.
-    Nothing,
+    NoAnswer,
     /// Means that it has nothing newer.
-    Same,
+    Unchanged,
 }
 
 /// Chooses the host to ask.
@@ -33,10 +33,10 @@
     }
 
     /// Notes what came of asking that source.
-    pub fn asked(&mut self, outcome: Outcome) {
+    pub fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Newer => {}
-            Outcome::Nothing | Outcome::Same => self.turn = self.turn.wrapping_add(1),
+            Outcome::NoAnswer | Outcome::Unchanged => self.turn = self.turn.wrapping_add(1),
         }
     }
 }
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -1,7 +1,7 @@
 //! Which broker owns which upstreams, and which broker places a request.
 //!
-//! Upstreams are grouped into shards of up to [`UPSTREAMS`], so that a broker has many to choose
-//! from: a small fleet has one shard, and cost per broker stays level as a fleet grows. Each host
+//! Upstreams are grouped into shards of up to [`UPSTREAMS_PER_SHARD`], so that a broker has many to
+//! choose from: a small fleet has one shard, and cost per broker stays level as a fleet grows. Each host
 //! works all of it out from its own view and table.
 
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
 use state::table::Table;
 
 /// Gives the upstreams of one shard.
-pub const UPSTREAMS: usize = 140;
+pub const UPSTREAMS_PER_SHARD: usize = 140;
 
 /// Names a shard; a `Copy` key.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -26,7 +26,7 @@
 /// Returns how many shards the upstreams of a table make.
 pub fn count(table: &Table) -> u16 {
     let engines = table.sheet(Sheet::Upstreams).filter(|(_, r)| is_engine(r));
-    let shards = engines.count().div_ceil(UPSTREAMS).max(1);
+    let shards = engines.count().div_ceil(UPSTREAMS_PER_SHARD).max(1);
     u16::try_from(shards).unwrap_or(u16::MAX)
 }
 
--- a/crates/coordination/src/stream.rs
+++ b/crates/coordination/src/stream.rs
@@ -36,7 +36,7 @@
 
 /// Tells why an attempt must be given up; what was accepted before stays valid.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum Fault {
+pub enum StreamError {
     /// Reports an end that nobody on this side asked for.
     #[error("the upstream cancelled the answer at offset {at}")]
     Cancelled {
@@ -67,7 +67,7 @@
     },
     /// Reports an answer that is longer than its bound.
     #[error("the answer is longer than its bound of {limit}")]
-    Long {
+    LimitExceeded {
         /// Gives the bound, in tokens or in bytes.
         limit: u64,
     },
@@ -97,7 +97,7 @@
 
 /// Tells the next upstream where to go on.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Resume {
+pub struct ResumePoint {
     /// Counts the tokens accepted so far.
     pub offset: u64,
     /// Holds their text.
@@ -108,7 +108,7 @@
 
 /// Bounds an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Bound {
+pub struct Limits {
     /// Bounds the text, in bytes.
     pub bytes: u64,
     /// Bounds the answer, in tokens.
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug)]
 pub struct Assembler {
     attempt: Option<Attempt>,
-    bound: Bound,
+    limits: Limits,
     ended: bool,
     finish: Option<Finish>,
     next: u64,
@@ -135,10 +135,10 @@
 
 impl Assembler {
     /// Returns an assembler for an answer within `bound`.
-    pub fn new(bound: Bound) -> Self {
+    pub fn new(limits: Limits) -> Self {
         Self {
             attempt: None,
-            bound,
+            limits,
             ended: false,
             finish: None,
             next: 0,
@@ -152,15 +152,15 @@
     /// # Errors
     ///
     /// Returns an error when tokens of another weights version were accepted before.
-    pub fn begin(
+    pub fn begin_attempt(
         &mut self,
         id: impl Into<String>,
         version: impl Into<String>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), StreamError> {
         let version = version.into();
         self.attempt = None;
         if let Some(expected) = self.version.as_ref().filter(|v| **v != version) {
-            return Err(Fault::Version {
+            return Err(StreamError::Version {
                 expected: expected.clone(),
                 found: version,
             });
@@ -175,9 +175,9 @@
     /// # Errors
     ///
     /// Returns an error unless the end mark came before.
-    pub fn close(&self) -> Result<(), Fault> {
+    pub fn close(&self) -> Result<(), StreamError> {
         match self.ended {
-            false => Err(Fault::NoEnd { at: self.next }),
+            false => Err(StreamError::NoEnd { at: self.next }),
             true => Ok(()),
         }
     }
@@ -187,14 +187,14 @@
     /// # Errors
     ///
     /// Returns an error when the finishing piece has not come.
-    pub fn end(&mut self) -> Result<Finish, Fault> {
-        let finish = self.finish.ok_or(Fault::NoEnd { at: self.next })?;
+    pub fn end(&mut self) -> Result<Finish, StreamError> {
+        let finish = self.finish.ok_or(StreamError::NoEnd { at: self.next })?;
         self.ended = true;
         Ok(finish)
     }
 
     /// Returns whether the whole answer was accepted.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended
     }
 
@@ -213,7 +213,7 @@
     /// # Errors
     ///
     /// Returns why the attempt must be given up; nothing of the piece was accepted then.
-    pub fn push(&mut self, piece: &Piece) -> Result<(), Fault> {
+    pub fn push(&mut self, piece: &Piece) -> Result<(), StreamError> {
         self.check(piece)?;
         self.next += piece.tokens;
         self.text.push_str(&piece.text);
@@ -225,10 +225,10 @@
     }
 
     /// Returns where the next attempt goes on; one that missed only the end mark ends again.
-    pub fn resume(&mut self) -> Resume {
+    pub fn resume(&mut self) -> ResumePoint {
         self.attempt = None;
         self.finish = None;
-        Resume {
+        ResumePoint {
             offset: self.next,
             text: self.text.clone(),
             version: self.version.clone(),
@@ -240,35 +240,35 @@
         &self.text
     }
 
-    fn check(&self, piece: &Piece) -> Result<(), Fault> {
+    fn check(&self, piece: &Piece) -> Result<(), StreamError> {
         let expected = self.next;
         let found = piece.offset;
         let current = self.attempt.as_ref().map_or("", |a| a.id.as_str());
         if self.attempt.is_none() || current != piece.id {
-            return Err(Fault::Crossed {
+            return Err(StreamError::Crossed {
                 expected: current.to_owned(),
                 found: piece.id.clone(),
             });
         }
         if self.finish.is_some() || self.ended {
-            return Err(Fault::Extra { found });
+            return Err(StreamError::Extra { found });
         }
         if found > expected {
-            return Err(Fault::Gap { expected, found });
+            return Err(StreamError::Gap { expected, found });
         }
         if found < expected {
-            return Err(Fault::Repeat { expected, found });
+            return Err(StreamError::Repeat { expected, found });
         }
         if piece.finish == Some(Finish::Cancelled) {
-            return Err(Fault::Cancelled { at: found });
+            return Err(StreamError::Cancelled { at: found });
         }
-        if found.saturating_add(piece.tokens) > self.bound.tokens {
-            let limit = self.bound.tokens;
-            return Err(Fault::Long { limit });
+        if found.saturating_add(piece.tokens) > self.limits.tokens {
+            let limit = self.limits.tokens;
+            return Err(StreamError::LimitExceeded { limit });
         }
-        if (self.text.len() + piece.text.len()) as u64 > self.bound.bytes {
-            let limit = self.bound.bytes;
-            return Err(Fault::Long { limit });
+        if (self.text.len() + piece.text.len()) as u64 > self.limits.bytes {
+            let limit = self.limits.bytes;
+            return Err(StreamError::LimitExceeded { limit });
         }
         Ok(())
     }
--- a/crates/coordination/tests/rotation.rs
+++ b/crates/coordination/tests/rotation.rs
@@ -20,8 +20,8 @@
                 None => false,
             };
             has[host] |= brings;
-            rotations[host].asked(match brings {
-                false => Outcome::Same,
+            rotations[host].record(match brings {
+                false => Outcome::Unchanged,
                 true => Outcome::Newer,
             });
         }
@@ -39,15 +39,15 @@
 #[test]
 fn a_source_that_brings_something_is_asked_again() {
     let mut rotation = Rotation::new(1);
-    rotation.asked(Outcome::Newer);
+    rotation.record(Outcome::Newer);
     assert_eq!(rotation.source(&["a", "b"]), Some("b"));
 }
 
 #[test]
 fn a_source_that_brings_nothing_is_left_for_the_next() {
-    for outcome in [Outcome::Nothing, Outcome::Same] {
+    for outcome in [Outcome::NoAnswer, Outcome::Unchanged] {
         let mut rotation = Rotation::new(1);
-        rotation.asked(outcome);
+        rotation.record(outcome);
         assert_eq!(rotation.source(&["a", "b"]), Some("a"), "{outcome:?}");
     }
     assert_eq!(Rotation::new(3).source::<u8>(&[]), None);
--- a/crates/coordination/tests/stream.rs
+++ b/crates/coordination/tests/stream.rs
@@ -7,12 +7,12 @@
 use proptest::proptest;
 
 use coordination::stream::Assembler;
-use coordination::stream::Bound;
-use coordination::stream::Fault;
 use coordination::stream::Finish;
+use coordination::stream::Limits;
 use coordination::stream::Piece;
+use coordination::stream::StreamError;
 
-const BOUND: Bound = Bound {
+const LIMITS: Limits = Limits {
     bytes: 40,
     tokens: 4,
 };
@@ -37,8 +37,8 @@
 }
 
 fn started() -> Assembler {
-    let mut answer = Assembler::new(BOUND);
-    answer.begin("a", "v1").unwrap();
+    let mut answer = Assembler::new(LIMITS);
+    answer.begin_attempt("a", "v1").unwrap();
     answer.push(&piece(0)).unwrap();
     answer.push(&piece(1)).unwrap();
     answer
@@ -63,26 +63,26 @@
         ..piece(2)
     };
     let cases = [
-        (cancelled, Fault::Cancelled { at: 2 }),
+        (cancelled, StreamError::Cancelled { at: 2 }),
         (
             crossed,
-            Fault::Crossed {
+            StreamError::Crossed {
                 expected: "a".to_owned(),
                 found: "b".to_owned(),
             },
         ),
         (
             piece(3),
-            Fault::Gap {
+            StreamError::Gap {
                 expected: 2,
                 found: 3,
             },
         ),
-        (many, Fault::Long { limit: 4 }),
-        (heavy, Fault::Long { limit: 40 }),
+        (many, StreamError::LimitExceeded { limit: 4 }),
+        (heavy, StreamError::LimitExceeded { limit: 40 }),
         (
             piece(1),
-            Fault::Repeat {
+            StreamError::Repeat {
                 expected: 2,
                 found: 1,
             },
@@ -99,19 +99,19 @@
 fn a_piece_after_the_end_is_refused() {
     let mut answer = started();
     answer.push(&finishing(2)).unwrap();
-    assert_eq!(answer.push(&piece(2)), Err(Fault::Extra { found: 2 }));
+    assert_eq!(answer.push(&piece(2)), Err(StreamError::Extra { found: 2 }));
 }
 
 #[test]
 fn only_the_finishing_piece_and_the_end_mark_make_an_answer_whole() {
     let mut answer = started();
-    assert_eq!(answer.end(), Err(Fault::NoEnd { at: 2 }));
+    assert_eq!(answer.end(), Err(StreamError::NoEnd { at: 2 }));
     answer.push(&finishing(2)).unwrap();
-    assert_eq!(answer.close(), Err(Fault::NoEnd { at: 2 }));
-    assert!(!answer.is_whole());
+    assert_eq!(answer.close(), Err(StreamError::NoEnd { at: 2 }));
+    assert!(!answer.is_complete());
     assert_eq!(answer.end(), Ok(Finish::Stop));
     assert_eq!(answer.close(), Ok(()));
-    assert!(answer.is_whole());
+    assert!(answer.is_complete());
 }
 
 #[test]
@@ -119,7 +119,7 @@
     let mut answer = started();
     answer.push(&finishing(2)).unwrap();
     assert_eq!(answer.resume().offset, 2);
-    answer.begin("b", "v1").unwrap();
+    answer.begin_attempt("b", "v1").unwrap();
     let again = Piece {
         id: "b".to_owned(),
         ..finishing(2)
@@ -134,13 +134,13 @@
     let resume = answer.resume();
     assert_eq!((resume.offset, resume.text.as_str()), (2, "0 1 "));
     assert_eq!(resume.version.as_deref(), Some("v1"));
-    let crossed = Fault::Crossed {
+    let crossed = StreamError::Crossed {
         expected: String::new(),
         found: "a".to_owned(),
     };
     assert_eq!(answer.push(&piece(2)), Err(crossed));
-    answer.begin("b", "v1").unwrap();
-    let crossed = Fault::Crossed {
+    answer.begin_attempt("b", "v1").unwrap();
+    let crossed = StreamError::Crossed {
         expected: "b".to_owned(),
         found: "a".to_owned(),
     };
@@ -151,19 +151,19 @@
 fn tokens_of_two_weights_versions_never_meet() {
     let mut answer = started();
     answer.resume();
-    let fault = Fault::Version {
+    let fault = StreamError::Version {
         expected: "v1".to_owned(),
         found: "v2".to_owned(),
     };
-    assert_eq!(answer.begin("b", "v2"), Err(fault));
+    assert_eq!(answer.begin_attempt("b", "v2"), Err(fault));
 }
 
 #[test]
 fn an_answer_without_tokens_may_change_its_version() {
-    let mut answer = Assembler::new(BOUND);
-    answer.begin("a", "v1").unwrap();
+    let mut answer = Assembler::new(LIMITS);
+    answer.begin_attempt("a", "v1").unwrap();
     assert_eq!(answer.resume().version, None);
-    assert_eq!(answer.begin("b", "v2"), Ok(()));
+    assert_eq!(answer.begin_attempt("b", "v2"), Ok(()));
 }
 
 proptest! {
@@ -171,14 +171,14 @@
     fn whatever_comes_the_text_is_a_prefix_of_the_answer(
         moves in vec((any::<bool>(), 0_u64..12, 0_u64..3), 0..60),
     ) {
-        let bound = Bound { bytes: 1_000, tokens: 10 };
-        let mut answer = Assembler::new(bound);
+        let limits = Limits { bytes: 1_000, tokens: 10 };
+        let mut answer = Assembler::new(limits);
         let mut attempt = 0;
         for (restart, offset, id) in moves {
             if restart {
                 answer.resume();
                 attempt += 1;
-                answer.begin(format!("a{attempt}"), "v1").unwrap();
+                answer.begin_attempt(format!("a{attempt}"), "v1").unwrap();
             }
             let finish = (offset == 10).then_some(Finish::Length);
             let tokens = u64::from(finish.is_none());
--- a/crates/hibiscushoistd/src/attempt.rs
+++ b/crates/hibiscushoistd/src/attempt.rs
@@ -15,9 +15,9 @@
 use coordination::report::Progress;
 use coordination::retry::Reason;
 use coordination::stream::Assembler;
-use coordination::stream::Fault;
 use coordination::stream::Finish;
-use coordination::stream::Resume;
+use coordination::stream::ResumePoint;
+use coordination::stream::StreamError;
 use protocol::engine;
 use protocol::engine::Code;
 use protocol::refusal::NotRun;
@@ -177,7 +177,7 @@
         };
         let signature = stream.signature().clone();
         self.observe(signature.incarnation);
-        if let Err(fault) = self.answer.begin(request.id, signature.version) {
+        if let Err(fault) = self.answer.begin_attempt(request.id, signature.version) {
             return faulty(&fault);
         }
         match self.read(&mut stream).await {
@@ -265,7 +265,7 @@
 
     /// Returns the request as the engine reads it, with its blocks named for the weights it serves;
     /// without names where these are unknown.
-    fn request(&self, resume: Resume) -> engine::Request {
+    fn request(&self, resume: ResumePoint) -> engine::Request {
         let ask = &self.job.ask;
         let version = self.grant.version.as_deref();
         let blocks = version.map(|v| ask.blocks.iter().map(|block| block.under(v)).collect());
@@ -304,15 +304,16 @@
     }
 }
 
-fn faulty(fault: &Fault) -> Ended {
+fn faulty(fault: &StreamError) -> Ended {
     let reason = match fault {
-        Fault::Cancelled { .. } => Reason::Refused,
-        Fault::Crossed { .. } => Reason::Crossed,
-        Fault::Extra { .. } | Fault::Gap { .. } | Fault::Long { .. } | Fault::Repeat { .. } => {
-            Reason::Gap
-        }
-        Fault::NoEnd { .. } => Reason::NoEnd,
-        Fault::Version { .. } => Reason::Mismatch,
+        StreamError::Cancelled { .. } => Reason::Refused,
+        StreamError::Crossed { .. } => Reason::Crossed,
+        StreamError::Extra { .. }
+        | StreamError::Gap { .. }
+        | StreamError::LimitExceeded { .. }
+        | StreamError::Repeat { .. } => Reason::Gap,
+        StreamError::NoEnd { .. } => Reason::NoEnd,
+        StreamError::Version { .. } => Reason::Mismatch,
     };
     Ended::Broken(Broken {
         hopeful: true,
--- a/crates/hibiscushoistd/src/follow.rs
+++ b/crates/hibiscushoistd/src/follow.rs
@@ -48,8 +48,8 @@
                 continue;
             };
             let outcome = self.fetch(source).await;
-            rotation.asked(outcome);
-            if outcome == Outcome::Nothing {
+            rotation.record(outcome);
+            if outcome == Outcome::NoAnswer {
                 tokio::time::sleep(PAUSE).await;
             }
         }
@@ -64,18 +64,18 @@
             peer.table(context, after).await
         });
         let Ok(spread) = spread.await else {
-            return Outcome::Nothing;
+            return Outcome::NoAnswer;
         };
         let newer = match spread {
             Spread::Edits(edits) => {
                 let mut next = (*table).clone();
                 let applied = edits.iter().try_for_each(|e| next.apply(e).map(drop));
                 match applied {
-                    Err(_) => return Outcome::Nothing,
+                    Err(_) => return Outcome::NoAnswer,
                     Ok(()) => Arc::new(next),
                 }
             }
-            Spread::Same => return Outcome::Same,
+            Spread::Same => return Outcome::Unchanged,
             Spread::Whole(table) => table,
         };
         let revision = newer.revision();
--- a/crates/hibiscushoistd/src/stream.rs
+++ b/crates/hibiscushoistd/src/stream.rs
@@ -29,7 +29,7 @@
 use coordination::retry;
 use coordination::retry::Denial;
 use coordination::stream::Assembler;
-use coordination::stream::Bound;
+use coordination::stream::Limits;
 use protocol::completion::Details;
 use protocol::completion::Usage;
 use protocol::refusal::NotRun;
@@ -53,7 +53,7 @@
 pub fn start(context: Arc<Context>, job: Job) -> mpsc::Receiver<Part> {
     let (sender, receiver) = mpsc::channel(BUFFERED_PARTS);
     tokio::spawn(async move {
-        let bound = Bound {
+        let bound = Limits {
             bytes: LONGEST_ANSWER,
             tokens: job.max_tokens,
         };
