--- a/crates/coordination/examples/assign_slope.rs
+++ b/crates/coordination/examples/assign_slope.rs
@@ -89,7 +89,7 @@
         unusable: Vec::new(),
         demand: Demand {
             domain: "domain-1".to_owned(),
-            first_token_left_ms: 1_000,
+            first_byte_left_ms: 1_000,
             left_ms: 12_000,
             memory_tokens: Some(160_000),
             model: Some("m".to_owned()),
--- a/crates/coordination/src/demand.rs
+++ b/crates/coordination/src/demand.rs
@@ -19,7 +19,7 @@
     /// Gives the weights version that must serve the request, where an answer goes on.
     pub exact_weights: Option<u64>,
     /// Gives the time left until the answer should begin, in milliseconds.
-    pub first_token_left_ms: u64,
+    pub first_byte_left_ms: u64,
     /// Gives the time left, in milliseconds.
     pub left_ms: u64,
     /// Counts the tokens that the memory of one engine holds, where that is known.
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -179,7 +179,7 @@
             backlog_ms: expected.backlog_ms,
             fetch_from,
             assignment_id: None,
-            rank: match (&demand.shared_prefix, demand.first_token_left_ms > FIRST_MS) {
+            rank: match (&demand.shared_prefix, demand.first_byte_left_ms > FIRST_MS) {
                 (None, _) => Rank::Normal,
                 (Some(_), true) => Rank::First,
                 (Some(_), false) => Rank::Last,
@@ -442,7 +442,7 @@
         };
         let place = affinity::least_loaded_of_sample(&candidates, demand.random);
         let place = place.ok_or(Refusal::NoUpstream)?;
-        let slack_ms = demand.first_token_left_ms / CONNECTION_DIVISOR;
+        let slack_ms = demand.first_byte_left_ms / CONNECTION_DIVISOR;
         Ok(among[affinity::prefer_connected(&candidates, place, slack_ms)])
     }
 
@@ -562,5 +562,5 @@
 
 /// Returns whether an answer that a candidate makes is expected to begin in time.
 fn begins_in_time(candidate: &Candidate, demand: &Demand) -> bool {
-    candidate.backlog_ms + candidate.prefill_ms + FIRST_MS <= demand.first_token_left_ms
+    candidate.backlog_ms + candidate.prefill_ms + FIRST_MS <= demand.first_byte_left_ms
 }
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
     /// Bounds the attempts at one request, the first included.
-    pub max_attempts: u32,
+    pub attempt_limit: u32,
     /// Bounds the pause before the second attempt, in milliseconds; it doubles from there.
     pub initial_backoff_ms: u64,
     /// Bounds every pause, in milliseconds.
@@ -110,7 +110,7 @@
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            max_attempts: 8,
+            attempt_limit: 8,
             initial_backoff_ms: 20,
             max_backoff_ms: 1_000,
             burst: 20,
@@ -190,7 +190,7 @@
         if failure.may_have_run && !failure.idempotent {
             return Err(Denial::MayHaveRun);
         }
-        if failure.attempt >= policy.max_attempts {
+        if failure.attempt >= policy.attempt_limit {
             return Err(Denial::Attempts);
         }
         let pause = self.pause(failure.attempt);
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -24,7 +24,7 @@
 
 fn demand(prefix_id: impl Into<String>) -> Demand {
     Demand {
-        first_token_left_ms: 1_000,
+        first_byte_left_ms: 1_000,
         left_ms: 12_000,
         model: Some("m".to_owned()),
         newest_weights: 1,
@@ -101,7 +101,7 @@
     let choice = choice.unwrap();
     assert_eq!(choice.backlog_ms, 0);
     let late = Demand {
-        first_token_left_ms: 100_000,
+        first_byte_left_ms: 100_000,
         ..demand("q")
     };
     let next = || Request {
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -25,7 +25,7 @@
 
 fn long(prefix_id: &str) -> Demand {
     Demand {
-        first_token_left_ms: 1_000,
+        first_byte_left_ms: 1_000,
         left_ms: 12_000,
         model: Some("m".to_owned()),
         newest_weights: 1,
@@ -168,7 +168,7 @@
     let open = ["e3", "e30", "e57"];
     let demand = |random| Demand {
         connected: open.map(address).to_vec(),
-        first_token_left_ms: 2_500,
+        first_byte_left_ms: 2_500,
         ..short(random)
     };
     for (ahead, stays) in [(0, true), (5_000, true), (6_000, false)] {
@@ -200,7 +200,7 @@
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(15_000))]);
     host.set_other_loads(Instant(0), busy);
     let late = Demand {
-        first_token_left_ms: 0,
+        first_byte_left_ms: 0,
         ..long("p")
     };
     assert_eq!(host.choose(Instant(1), &fleet, &late), Err(Refusal::Busy));
@@ -211,7 +211,7 @@
 fn late_prompts_leave_the_last_idle_engines_to_those_in_time() {
     let fleet = engines(10);
     let late = Demand {
-        first_token_left_ms: 0,
+        first_byte_left_ms: 0,
         ..long("p")
     };
     for (idle, placed) in [(4, true), (3, true), (2, false), (1, false)] {
@@ -319,7 +319,7 @@
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let late = Demand {
-        first_token_left_ms: 0,
+        first_byte_left_ms: 0,
         ..long("p")
     };
     for (demand, rank) in [
@@ -553,7 +553,7 @@
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = Demand {
-        first_token_left_ms: 10_000,
+        first_byte_left_ms: 10_000,
         memory_tokens: Some(100_000),
         prompt_tokens: 90_000,
         ..long("p")
--- a/crates/coordination/tests/retry.rs
+++ b/crates/coordination/tests/retry.rs
@@ -42,7 +42,7 @@
         let mut failure = failure();
         let mut retries = RetryBudgets::new(policy, SEED);
         match denial {
-            Denial::Attempts => failure.attempt = policy.max_attempts,
+            Denial::Attempts => failure.attempt = policy.attempt_limit,
             Denial::Deadline => failure.deadline = NOW + policy.initial_backoff_ms / 2,
             Denial::MayHaveRun => failure.idempotent = false,
             Denial::UpstreamBudget => {
@@ -112,7 +112,7 @@
 #[test]
 fn pauses_double_to_their_bound_and_vary() {
     let policy = Policy {
-        max_attempts: 12,
+        attempt_limit: 12,
         burst: 1_000,
         ..Policy::default()
     };
--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -118,7 +118,7 @@
 /// Returns this host's part of the budget that all hosts share.
 fn budget(percent: u64, slack: u64, hosts: u64) -> Policy {
     Policy {
-        max_attempts: u32::MAX,
+        attempt_limit: u32::MAX,
         initial_backoff_ms: 0,
         max_backoff_ms: 0,
         burst: (slack * BUDGET_SHARE / 100 / hosts).max(1),
--- a/crates/hibiscushoistd/src/gateway_place.rs
+++ b/crates/hibiscushoistd/src/gateway_place.rs
@@ -130,7 +130,7 @@
         domain: context.settings.failure_domain.clone(),
         exact_weights: progress.exact_weights,
         random: rand::random(),
-        first_token_left_ms: routed.route.first_byte_goal_ms.saturating_sub(waited),
+        first_byte_left_ms: routed.route.first_byte_goal_ms.saturating_sub(waited),
         left_ms: routed.left_ms(now),
         memory_tokens: service.and_then(|service| service.memory_tokens),
         newest_weights: newest.copied().unwrap_or_default(),
