--- a/crates/coordination/src/reload.rs
+++ b/crates/coordination/src/reload.rs
@@ -1,11 +1,11 @@
-//! Rolling reload: brings engines to the newest weights, a share of them at a time.
+//! Rolling reload: updates engines to the newest weights, a share of them at a time.
 //!
-//! One host gives the orders. It takes an engine off new work, reads how many orders the engine has
-//! accepted, orders the newest weights under the condition that the engine has accepted no other
-//! order since, and reads again until the weights are there. An order that got no answer is given
-//! again under the same condition, so that it is carried out once even when the first arrives late.
-//! A version that was named while an engine waited is skipped. A host that has just begun to lead
-//! waits until no order of the host before it can still be on its way.
+//! Only the leader sends orders. It takes an engine off new work, reads how many orders the engine
+//! has accepted, orders the newest weights on the condition that the engine has accepted no other
+//! order since, and reads again until the weights are loaded. An order without an answer is sent
+//! again under the same condition, so that it is carried out once even when the first one arrives
+//! late. When a newer version appears while an engine waits, the older one is skipped. A new leader
+//! sends no orders until no order of the previous leader can still arrive.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,51 +17,52 @@
 use crate::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
-/// Tells what becomes of the requests that run when weights change.
+/// What happens to the requests in flight at an engine when its weights change.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum InFlightPolicy {
-    /// Means that they go on under the new weights.
+    /// The requests continue with the new weights.
     Continue,
-    /// Means that they end before the weights change.
+    /// The requests finish before the weights change.
     #[default]
     Finish,
 }
 
-/// Bounds a rolling reload; times are in milliseconds.
+/// The configuration of a rolling reload.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Gives the time after an order in which no engine can have finished it.
-    pub expected_load_ms: u64,
-    /// Gives how many engines may reload at once however few there are.
+    /// Shortest time in which an engine can load weights, in milliseconds; it is not read earlier.
+    pub min_load_ms: u64,
+    /// Number of engines that may always load at once, however small the share is.
     pub min_concurrent: usize,
-    /// Bounds the time that an engine gets to end its work before its order, which is longer than
-    /// most answers take.
+    /// Time that an engine with requests in flight has to finish them before its order, in
+    /// milliseconds; most answers take less.
     pub finish_wait_ms: u64,
-    /// Gives the time between two reads of an engine that loads.
+    /// Time between two reads of an engine that loads, in milliseconds.
     pub read_interval_ms: u64,
-    /// Tells what becomes of the requests that run.
+    /// What happens to the requests in flight.
     pub in_flight_policy: InFlightPolicy,
-    /// Bounds the engines that load at once, in percent of all; as many more are taken off new work
-    /// beside them, to end what runs there.
+    /// Maximum share of the engines that load at once, in percent; as many more may be off new work
+    /// to finish their requests.
     pub share_percent: usize,
-    /// Gives the time from when an engine is taken off new work until its order.
+    /// Time until all hosts know that an engine is off new work, in milliseconds; its order waits
+    /// for that long.
     pub propagation_ms: u64,
-    /// Gives the time after an unanswered or refused order until the next try.
+    /// Time after an unanswered or refused order until the engine is read again, in milliseconds.
     pub retry_delay_ms: u64,
-    /// Gives the time for which an engine that did not answer is left alone.
+    /// Time for which an engine that did not answer a read is skipped, in milliseconds.
     pub unanswered_delay_ms: u64,
-    /// Gives the time for which a host that begins to lead gives no orders.
+    /// Time for which a new leader sends no orders, in milliseconds.
     pub takeover_delay_ms: u64,
 }
 
 impl Default for Policy {
-    /// Returns a policy for engines that load in about two seconds and for hosts that learn of a
-    /// change within a third of a second.
+    /// Returns a policy for engines that load in about two seconds, in a fleet where every host
+    /// learns of a change within a third of a second.
     fn default() -> Self {
         Self {
             min_concurrent: 2,
-            expected_load_ms: 1_900,
+            min_load_ms: 1_900,
             finish_wait_ms: 2_500,
             read_interval_ms: 150,
             in_flight_policy: InFlightPolicy::Finish,
@@ -74,99 +75,99 @@
     }
 }
 
-/// Asks an engine to load weights.
+/// An order to an engine to load weights.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// Names the engine.
+    /// Id of the engine.
     pub id: String,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Counts the orders that the engine must have accepted before.
+    /// Number of orders that the engine must have accepted before; otherwise it refuses this one.
     pub expected_orders: u64,
-    /// Tells what becomes of the requests that run.
+    /// What happens to the requests in flight.
     pub in_flight_policy: InFlightPolicy,
-    /// Gives the version of the weights.
+    /// Version of the weights.
     pub version: u64,
 }
 
-/// Tells how an order was answered.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, IntoStaticStr, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Outcome {
-    /// Means that the engine carries it out.
+    /// The engine carries out the order.
     Accepted,
-    /// Means that the engine has these weights.
+    /// The engine already has these weights.
     Holds,
-    /// Means that the engine has another order or has accepted another since.
+    /// The engine carries out another order, or has accepted another one since it was read.
     Refused,
-    /// Means that the order may or may not be carried out, perhaps later.
+    /// The order may or may not be carried out, now or later.
     Unknown,
 }
 
-/// Holds what an engine says of itself.
+/// The state of an engine, as the engine reports it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Report {
-    /// Tells whether it carries out an order.
+    /// Whether the engine carries out an order.
     pub loading: bool,
-    /// Counts the orders that it has accepted since its start.
+    /// Number of orders that the engine has accepted since its start.
     pub accepted_orders: u64,
-    /// Counts the requests that run.
+    /// Number of requests in flight at the engine.
     pub running: u32,
-    /// Gives the weights version of each of its models.
+    /// Weights version of each model of the engine.
     pub weights: BTreeMap<String, u64>,
 }
 
-/// Tells a reload what happened.
+/// An input of a rolling reload.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Brings the answer to an order.
+    /// An order to this engine was answered or timed out.
     Answered(String, Outcome),
-    /// Tells that this host leads from now on.
+    /// This host became the leader.
     LeadershipGained,
-    /// Brings the upstreams of the platform's list.
+    /// The platform's list of upstreams was read.
     Listed(Vec<ListedUpstream>),
-    /// Tells what all hosts have under way at engines.
+    /// The load of each engine, summed over all hosts.
     Loads(UpstreamLoads),
-    /// Brings the newest weights versions.
+    /// The newest weights version of each model.
     NewestVersions(BTreeMap<String, u64>),
-    /// Brings what an engine says, or that it did not answer.
+    /// An engine was read; `None` if it did not answer.
     Reported(String, Option<Report>),
-    /// Lets time pass.
+    /// Time has passed.
     Tick,
 }
 
-/// Tells what to do.
+/// An action that a rolling reload requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Tells that an engine has the weights that it was ordered to load.
+    /// Report that an engine has loaded the weights that it was ordered to load.
     Done {
-        /// Names the engine.
+        /// Id of the engine.
         id: String,
-        /// Gives the time since the order, in milliseconds.
+        /// Time since the order, in milliseconds.
         took_ms: u64,
-        /// Gives the version of the weights.
+        /// Version of the weights.
         version: u64,
     },
-    /// Gives an order.
+    /// Send an order.
     Order(Order),
-    /// Reads what an engine says of itself.
+    /// Read the report of an engine.
     Read(String),
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
-    /// Was given an order for `version` and is read from `next` on.
-    Loading { next: Instant, version: u64 },
-    /// Is being read before its order.
-    Reading { again: Instant },
-    /// Takes work.
-    Settled,
-    /// Gets no new work, until the other hosts know of it and fewer engines load.
-    Spreading { since: Instant },
+    /// Was ordered to load `version`; the next read is due at `next_read`.
+    Loading { next_read: Instant, version: u64 },
+    /// Is being read before its order; a read without an answer is repeated at `next_read`.
+    Reading { next_read: Instant },
+    /// Accepts new work.
+    Serving,
+    /// Is off new work; waits until the other hosts know this and fewer engines load.
+    Withdrawn { since: Instant },
 }
 
 impl Phase {
-    /// Returns whether an order was given or is about to be.
+    /// Returns whether an order was sent or is about to be sent.
     fn is_ordered(self) -> bool {
         matches!(self, Self::Loading { .. } | Self::Reading { .. })
     }
@@ -174,87 +175,90 @@
 
 #[derive(Clone, Debug)]
 struct Engine {
-    /// Gives the time before which the engine is left alone, because it did not answer.
+    /// Time before which the engine is skipped, because it did not answer.
     not_before: Instant,
     ordered: Instant,
     phase: Phase,
-    seen: ListedUpstream,
+    listed: ListedUpstream,
     weights: BTreeMap<String, u64>,
 }
 
-/// Brings engines to the newest weights.
+/// Plans the reads and orders that update all engines to the newest weights.
 #[derive(Clone, Debug)]
 pub struct Reload {
     engines: BTreeMap<String, Engine>,
     loads: UpstreamLoads,
-    named: BTreeMap<String, u64>,
-    orders_from: Option<Instant>,
+    newest_versions: BTreeMap<String, u64>,
+    orders_allowed_from: Option<Instant>,
     policy: Policy,
 }
 
 impl Reload {
-    /// Returns a reload that knows no engine.
+    /// Returns a rolling reload without any engine.
     pub fn new(policy: Policy) -> Self {
         Self {
             engines: BTreeMap::new(),
             loads: UpstreamLoads::new(),
-            named: BTreeMap::new(),
-            orders_from: None,
+            newest_versions: BTreeMap::new(),
+            orders_allowed_from: None,
             policy,
         }
     }
 
-    /// Takes `event` at `now` and returns what to do.
+    /// Processes `event` at `now` and returns the resulting effects.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         match event {
-            Event::Answered(id, outcome) => self.answered(now, &id, outcome),
-            Event::LeadershipGained => self.led(now),
-            Event::Listed(seen) => self.listed(seen),
+            Event::Answered(id, outcome) => self.order_answered(now, &id, outcome),
+            Event::LeadershipGained => self.leadership_gained(now),
+            Event::Listed(listed) => self.listed(listed),
             Event::Loads(loads) => self.loads = loads,
-            Event::NewestVersions(named) => self.named = named,
+            Event::NewestVersions(newest_versions) => self.newest_versions = newest_versions,
             Event::Reported(id, report) => return self.reported(now, &id, report),
             Event::Tick => return self.tick(now),
         }
         Vec::new()
     }
 
-    /// Returns whether an engine gets no new work because of its weights.
+    /// Returns whether an engine is off new work because its weights are being updated.
     pub fn is_loading(&self, id: &str) -> bool {
         let engine = self.engines.get(id);
-        engine.is_some_and(|engine| engine.phase != Phase::Settled)
+        engine.is_some_and(|engine| engine.phase != Phase::Serving)
     }
 
-    /// Returns the newest known weights versions of an engine.
+    /// Returns the newest weights versions that an engine is known to have.
     pub fn weights(&self, id: &str) -> Option<&BTreeMap<String, u64>> {
         self.engines.get(id).map(|engine| &engine.weights)
     }
 
-    fn led(&mut self, now: Instant) {
-        self.orders_from = Some(now + self.policy.takeover_delay_ms);
+    fn leadership_gained(&mut self, now: Instant) {
+        self.orders_allowed_from = Some(now + self.policy.takeover_delay_ms);
         for engine in self.engines.values_mut() {
-            engine.phase = Phase::Settled;
+            engine.phase = Phase::Serving;
         }
     }
 
-    fn listed(&mut self, seen: Vec<ListedUpstream>) {
+    fn listed(&mut self, upstreams: Vec<ListedUpstream>) {
         let mut old = std::mem::take(&mut self.engines);
-        for seen in seen.into_iter().filter(|seen| !seen.weights.is_empty()) {
-            let known = old.remove(&seen.id);
-            let known = known.filter(|known| known.seen.started == seen.started);
+        for listed in upstreams
+            .into_iter()
+            .filter(|listed| !listed.weights.is_empty())
+        {
+            let known = old.remove(&listed.id);
+            let known = known.filter(|known| known.listed.started == listed.started);
             let mut engine = known.unwrap_or_else(|| Engine {
                 not_before: Instant::default(),
                 ordered: Instant::default(),
-                phase: Phase::Settled,
-                seen: seen.clone(),
+                phase: Phase::Serving,
+                listed: listed.clone(),
                 weights: BTreeMap::new(),
             });
-            engine.note(&seen.weights);
-            engine.seen = seen;
-            self.engines.insert(engine.seen.id.clone(), engine);
+            engine.record_weights(&listed.weights);
+            engine.listed = listed;
+            self.engines.insert(engine.listed.id.clone(), engine);
         }
     }
 
-    fn answered(&mut self, now: Instant, id: &str, outcome: Outcome) {
+    fn order_answered(&mut self, now: Instant, id: &str, outcome: Outcome) {
         let policy = self.policy;
         let Some(engine) = self.engines.get_mut(id) else {
             return;
@@ -263,12 +267,12 @@
             return;
         };
         let wait = match outcome {
-            Outcome::Accepted => policy.expected_load_ms,
+            Outcome::Accepted => policy.min_load_ms,
             Outcome::Holds => 0,
             Outcome::Refused | Outcome::Unknown => policy.retry_delay_ms,
         };
-        let next = now + wait;
-        engine.phase = Phase::Loading { next, version };
+        let next_read = now + wait;
+        engine.phase = Phase::Loading { next_read, version };
     }
 
     fn reported(&mut self, now: Instant, id: &str, report: Option<Report>) -> Vec<Effect> {
@@ -277,36 +281,37 @@
             return Vec::new();
         };
         let Some(report) = report else {
-            // An engine that does not answer must not keep others from their turn.
-            engine.phase = Phase::Settled;
+            // An engine that does not answer must not delay the other engines.
+            engine.phase = Phase::Serving;
             engine.not_before = now + policy.unanswered_delay_ms;
             return Vec::new();
         };
-        engine.note(&report.weights);
-        let lagging = engine.lagging(&self.named);
-        match (engine.phase, lagging) {
-            (Phase::Settled, _) => {}
-            (Phase::Loading { version, .. }, _) if engine.has(version) => {
-                // Where it lags again, others may lag further; it comes in its turn.
-                engine.phase = Phase::Settled;
+        engine.record_weights(&report.weights);
+        let update = engine.next_update(&self.newest_versions);
+        match (engine.phase, update) {
+            (Phase::Serving, _) => {}
+            (Phase::Loading { version, .. }, _) if engine.has_version(version) => {
+                // If a newer version has appeared, other engines may be further behind; this one
+                // waits for its turn.
+                engine.phase = Phase::Serving;
                 return vec![Effect::Done {
                     id: id.to_owned(),
                     took_ms: now.since(engine.ordered),
                     version,
                 }];
             }
-            (_, None) => engine.phase = Phase::Settled,
-            (phase, Some((_, newest))) if report.loading => {
+            (_, None) => engine.phase = Phase::Serving,
+            (phase, Some((_, newest_version))) if report.loading => {
                 let version = match phase {
                     Phase::Loading { version, .. } => version,
-                    _ => newest,
+                    _ => newest_version,
                 };
-                let next = now + policy.read_interval_ms;
-                engine.phase = Phase::Loading { next, version };
+                let next_read = now + policy.read_interval_ms;
+                engine.phase = Phase::Loading { next_read, version };
             }
             (_, Some((model, version))) => {
-                let next = now + policy.expected_load_ms;
-                engine.phase = Phase::Loading { next, version };
+                let next_read = now + policy.min_load_ms;
+                engine.phase = Phase::Loading { next_read, version };
                 engine.ordered = now;
                 return vec![Effect::Order(Order {
                     id: id.to_owned(),
@@ -321,104 +326,114 @@
     }
 
     fn tick(&mut self, now: Instant) -> Vec<Effect> {
-        if self.orders_from.is_none_or(|from| now < from) {
+        if self.orders_allowed_from.is_none_or(|from| now < from) {
             return Vec::new();
         }
-        self.begin(now);
+        self.withdraw_lagging(now);
         let policy = self.policy;
-        let mut room = self.most().saturating_sub(self.count(Phase::is_ordered));
+        let mut free_loads = self
+            .max_loading()
+            .saturating_sub(self.count(Phase::is_ordered));
         let mut effects = Vec::new();
         for engine in self.engines.values_mut() {
             let due = match engine.phase {
-                Phase::Settled => continue,
-                Phase::Spreading { since } if self.loads.contains_key(&engine.seen.id) => {
+                Phase::Serving => continue,
+                Phase::Withdrawn { since } if self.loads.contains_key(&engine.listed.id) => {
                     since + policy.finish_wait_ms
                 }
-                Phase::Spreading { since } => since + policy.propagation_ms,
-                Phase::Reading { again } => again,
-                Phase::Loading { next, .. } => next,
+                Phase::Withdrawn { since } => since + policy.propagation_ms,
+                Phase::Reading { next_read } => next_read,
+                Phase::Loading { next_read, .. } => next_read,
             };
-            let waits = matches!(engine.phase, Phase::Spreading { .. });
-            if now < due || waits && room == 0 {
+            let is_withdrawn = matches!(engine.phase, Phase::Withdrawn { .. });
+            if now < due || is_withdrawn && free_loads == 0 {
                 continue;
             }
-            room -= usize::from(waits);
+            free_loads -= usize::from(is_withdrawn);
             engine.phase = match engine.phase {
                 Phase::Loading { version, .. } => Phase::Loading {
-                    next: now + policy.read_interval_ms,
+                    next_read: now + policy.read_interval_ms,
                     version,
                 },
                 _ => Phase::Reading {
-                    again: now + policy.retry_delay_ms,
+                    next_read: now + policy.retry_delay_ms,
                 },
             };
-            effects.push(Effect::Read(engine.seen.id.clone()));
+            effects.push(Effect::Read(engine.listed.id.clone()));
         }
         effects
     }
 
     /// Returns how many engines may load at once.
-    fn most(&self) -> usize {
-        let stay = self.engines.values().filter(|engine| !engine.seen.leaving);
-        (stay.count() * self.policy.share_percent / 100).max(self.policy.min_concurrent)
+    fn max_loading(&self) -> usize {
+        let staying = self
+            .engines
+            .values()
+            .filter(|engine| !engine.listed.leaving);
+        (staying.count() * self.policy.share_percent / 100).max(self.policy.min_concurrent)
     }
 
-    fn count(&self, is: impl Fn(Phase) -> bool) -> usize {
+    fn count(&self, matches_phase: impl Fn(Phase) -> bool) -> usize {
         let engines = self.engines.values();
-        engines.filter(|engine| is(engine.phase)).count()
+        engines.filter(|engine| matches_phase(engine.phase)).count()
     }
 
-    /// Takes the engines that lag furthest, of these the least busy, off new work as far as the
-    /// share allows.
-    fn begin(&mut self, now: Instant) {
-        let most = self.most() * 2;
-        let busy = self.count(|phase| phase != Phase::Settled);
+    /// Takes engines off new work, as many as the share allows: those that are most versions behind
+    /// first, and among these the ones with the fewest requests in flight.
+    fn withdraw_lagging(&mut self, now: Instant) {
+        let max_withdrawn = self.max_loading() * 2;
+        let out_of_service = self.count(|phase| phase != Phase::Serving);
         let running = |id: &str| self.loads.get(id).map_or(0, |load| load.running);
         let mut lagging: Vec<(Reverse<u64>, u32, String)> = self
             .engines
             .values()
-            .filter(|engine| engine.phase == Phase::Settled && !engine.seen.leaving)
+            .filter(|engine| engine.phase == Phase::Serving && !engine.listed.leaving)
             .filter(|engine| now >= engine.not_before)
             .filter_map(|engine| {
-                let behind = Reverse(engine.behind(&self.named)?);
-                Some((behind, running(&engine.seen.id), engine.seen.id.clone()))
+                let behind = Reverse(engine.versions_behind(&self.newest_versions)?);
+                Some((behind, running(&engine.listed.id), engine.listed.id.clone()))
             })
             .collect();
         lagging.sort();
-        for (_, _, id) in lagging.into_iter().take(most.saturating_sub(busy)) {
+        for (_, _, id) in lagging
+            .into_iter()
+            .take(max_withdrawn.saturating_sub(out_of_service))
+        {
             if let Some(engine) = self.engines.get_mut(&id) {
-                engine.phase = Phase::Spreading { since: now };
+                engine.phase = Phase::Withdrawn { since: now };
             }
         }
     }
 }
 
 impl Engine {
-    /// Notes versions that were seen; one never goes back while the engine runs.
-    fn note(&mut self, weights: &BTreeMap<String, u64>) {
+    /// Records weights versions of the engine; a version never decreases while its process runs.
+    fn record_weights(&mut self, weights: &BTreeMap<String, u64>) {
         for (model, version) in weights {
             let known = self.weights.entry(model.clone()).or_default();
             *known = (*known).max(*version);
         }
     }
 
-    /// Returns whether any model has that version or a newer one.
-    fn has(&self, version: u64) -> bool {
+    /// Returns whether any model has version `version` or a newer one.
+    fn has_version(&self, version: u64) -> bool {
         self.weights.values().any(|known| *known >= version)
     }
 
-    fn behind(&self, named: &BTreeMap<String, u64>) -> Option<u64> {
+    /// Returns by how many versions the engine lags, for the model that lags most.
+    fn versions_behind(&self, newest_versions: &BTreeMap<String, u64>) -> Option<u64> {
         let behind = self.weights.iter().filter_map(|(model, version)| {
-            let newest = named.get(model)?;
-            (newest > version).then(|| newest - version)
+            let newest_version = newest_versions.get(model)?;
+            (newest_version > version).then(|| newest_version - version)
         });
         behind.max()
     }
 
-    fn lagging(&self, named: &BTreeMap<String, u64>) -> Option<(String, u64)> {
+    /// Returns a model that lags, with its newest version.
+    fn next_update(&self, newest_versions: &BTreeMap<String, u64>) -> Option<(String, u64)> {
         let mut lagging = self.weights.iter().filter_map(|(model, version)| {
-            let newest = named.get(model)?;
-            (newest > version).then(|| (model.clone(), *newest))
+            let newest_version = newest_versions.get(model)?;
+            (newest_version > version).then(|| (model.clone(), *newest_version))
         });
         lagging.next()
     }
--- a/crates/coordination/tests/reload.rs
+++ b/crates/coordination/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Rolling reloads of engines whose weights lag.
+//! Tests of rolling reloads, against simulated engines whose weights lag.
 
 mod upstream_fixtures;
 
@@ -16,26 +16,27 @@
 
 const MODEL: &str = "m";
 
-/// Drives a reload against engines that load as long as the policy expects.
-struct Test {
+/// Drives a rolling reload against engines that load for as long as the policy expects.
+struct Simulation {
     at: u64,
-    dark: Vec<String>,
+    unresponsive: Vec<String>,
     engines: BTreeMap<String, Engine>,
-    log: Vec<(u64, Effect)>,
+    effect_log: Vec<(u64, Effect)>,
     reload: Reload,
     running: BTreeMap<String, UpstreamLoad>,
 }
 
 #[derive(Default)]
 struct Engine {
+    /// End of the load under way, and the version being loaded.
     loads: Option<(u64, u64)>,
     orders: u64,
     version: u64,
 }
 
-impl Test {
+impl Simulation {
     fn new(engines: usize) -> Self {
-        let names = (0..engines).map(|place| format!("e{place:02}"));
+        let names = (0..engines).map(|index| format!("e{index:02}"));
         let engines: BTreeMap<String, Engine> = names
             .map(|name| {
                 let version = 1;
@@ -46,21 +47,21 @@
                 (name, engine)
             })
             .collect();
-        let mut test = Self {
+        let mut simulation = Self {
             at: 0,
-            dark: Vec::new(),
+            unresponsive: Vec::new(),
             engines,
-            log: Vec::new(),
+            effect_log: Vec::new(),
             reload: Reload::new(Policy::default()),
             running: BTreeMap::new(),
         };
-        test.list();
-        test.step(Event::LeadershipGained);
-        test
+        simulation.list();
+        simulation.step(Event::LeadershipGained);
+        simulation
     }
 
-    fn dark(mut self, id: &str) -> Self {
-        self.dark.push(id.to_owned());
+    fn unresponsive(mut self, id: &str) -> Self {
+        self.unresponsive.push(id.to_owned());
         self
     }
 
@@ -75,7 +76,7 @@
         self
     }
 
-    fn name(mut self, version: u64) -> Self {
+    fn publish_version(mut self, version: u64) -> Self {
         self.step(Event::NewestVersions(BTreeMap::from([(
             MODEL.to_owned(),
             version,
@@ -83,8 +84,8 @@
         self
     }
 
-    /// Lets time pass in steps of a tenth of a second.
-    fn pass(mut self, millis: u64) -> Self {
+    /// Advances the time in steps of a tenth of a second.
+    fn advance(mut self, millis: u64) -> Self {
         let until = self.at + millis;
         while self.at < until {
             self.at += 100;
@@ -112,7 +113,7 @@
     fn step(&mut self, event: Event) {
         let mut effects = self.reload.step(Instant(self.at), event);
         while let Some(effect) = effects.pop() {
-            self.log.push((self.at, effect.clone()));
+            self.effect_log.push((self.at, effect.clone()));
             let next = match effect {
                 Effect::Done { .. } => continue,
                 Effect::Order(order) => {
@@ -141,7 +142,11 @@
 
     fn report(&self, id: &str) -> Option<Report> {
         let engine = &self.engines[id];
-        (!self.dark.iter().any(|dark| dark == id)).then(|| Report {
+        (!self
+            .unresponsive
+            .iter()
+            .any(|unresponsive| unresponsive == id))
+        .then(|| Report {
             loading: engine.loads.is_some(),
             accepted_orders: engine.orders,
             running: 0,
@@ -150,21 +155,24 @@
     }
 
     fn orders(&self) -> Vec<(u64, String, u64)> {
-        let orders = self.log.iter().filter_map(|(at, effect)| match effect {
-            Effect::Order(order) => Some((*at, order.id.clone(), order.version)),
-            Effect::Done { .. } | Effect::Read(_) => None,
-        });
+        let orders = self
+            .effect_log
+            .iter()
+            .filter_map(|(at, effect)| match effect {
+                Effect::Order(order) => Some((*at, order.id.clone(), order.version)),
+                Effect::Done { .. } | Effect::Read(_) => None,
+            });
         orders.collect()
     }
 
-    fn most_at_once(&self) -> usize {
-        let mut most = 0;
+    fn max_concurrent_loads(&self) -> usize {
+        let mut max = 0;
         for (at, _, _) in self.orders() {
             let near = self.orders().into_iter();
             let near = near.filter(|(other, _, _)| *other <= at && at < *other + 1_900);
-            most = most.max(near.count());
+            max = max.max(near.count());
         }
-        most
+        max
     }
 
     fn versions(&self) -> Vec<u64> {
@@ -174,74 +182,88 @@
 
 #[test]
 fn all_engines_get_the_newest_weights_a_fifth_at_once() {
-    let test = Test::new(18).pass(4_000).name(2).pass(15_000);
-    assert_eq!(test.versions(), vec![2; 18]);
-    assert_eq!(test.orders().len(), 18);
-    assert_eq!(test.most_at_once(), 3);
+    let simulation = Simulation::new(18)
+        .advance(4_000)
+        .publish_version(2)
+        .advance(15_000);
+    assert_eq!(simulation.versions(), vec![2; 18]);
+    assert_eq!(simulation.orders().len(), 18);
+    assert_eq!(simulation.max_concurrent_loads(), 3);
 }
 
 #[test]
-fn nobody_is_ordered_while_the_host_before_may_still_order() {
-    let test = Test::new(4).name(2).pass(10_000);
-    let first = test.orders()[0].0;
+fn a_new_leader_sends_no_order_while_one_of_the_previous_leader_may_arrive() {
+    let simulation = Simulation::new(4).publish_version(2).advance(10_000);
+    let first = simulation.orders()[0].0;
     assert!(first >= Policy::default().takeover_delay_ms, "{first}");
 }
 
 #[test]
-fn a_version_that_was_overtaken_is_skipped_by_those_that_still_wait() {
-    let test = Test::new(18)
-        .pass(4_000)
-        .name(2)
-        .pass(4_000)
-        .name(3)
-        .pass(25_000);
-    assert_eq!(test.versions(), vec![3; 18]);
-    let twice = test.orders().iter().filter(|(_, _, v)| *v == 2).count();
-    assert!(twice < 9, "{twice} engines were loaded twice");
+fn engines_that_still_wait_skip_a_superseded_version() {
+    let simulation = Simulation::new(18)
+        .advance(4_000)
+        .publish_version(2)
+        .advance(4_000)
+        .publish_version(3)
+        .advance(25_000);
+    assert_eq!(simulation.versions(), vec![3; 18]);
+    let twice = simulation
+        .orders()
+        .iter()
+        .filter(|(_, _, v)| *v == 2)
+        .count();
+    assert!(twice < 9, "{twice} engines loaded twice");
 }
 
+// An engine that has just loaded version 2 must not get version 3 before those still at version 1.
 #[test]
-fn the_engine_that_lags_furthest_comes_before_one_that_has_just_loaded() {
-    let test = Test::new(4)
-        .pass(4_000)
-        .name(2)
-        .pass(2_600)
-        .name(3)
-        .pass(20_000);
-    let orders = test.orders();
+fn the_engine_that_is_most_versions_behind_is_updated_first() {
+    let simulation = Simulation::new(4)
+        .advance(4_000)
+        .publish_version(2)
+        .advance(2_600)
+        .publish_version(3)
+        .advance(20_000);
+    let orders = simulation.orders();
     let ids: Vec<&String> = orders.iter().map(|(_, id, _)| id).collect();
     assert_eq!(ids[..4], ["e01", "e00", "e03", "e02"], "{orders:?}");
 }
 
 #[test]
-fn an_engine_that_answers_nobody_keeps_no_other_from_its_turn() {
-    let test = Test::new(10)
-        .dark("e00")
-        .dark("e01")
-        .dark("e02")
-        .dark("e03")
-        .pass(4_000)
-        .name(2)
-        .pass(12_000);
-    assert_eq!(test.versions()[4..], [2; 6]);
+fn engines_that_do_not_answer_do_not_delay_the_others() {
+    let simulation = Simulation::new(10)
+        .unresponsive("e00")
+        .unresponsive("e01")
+        .unresponsive("e02")
+        .unresponsive("e03")
+        .advance(4_000)
+        .publish_version(2)
+        .advance(12_000);
+    assert_eq!(simulation.versions()[4..], [2; 6]);
 }
 
 #[test]
-fn an_engine_is_ordered_when_its_work_has_ended_or_after_a_while() {
-    let test = Test::new(4)
+fn an_engine_gets_its_order_once_its_requests_ended_or_after_a_wait() {
+    let simulation = Simulation::new(4)
         .running("e00")
         .running("e01")
-        .pass(4_000)
-        .name(2)
-        .pass(1_000);
-    let ids: Vec<String> = test.orders().into_iter().map(|(_, id, _)| id).collect();
+        .advance(4_000)
+        .publish_version(2)
+        .advance(1_000);
+    let ids: Vec<String> = simulation
+        .orders()
+        .into_iter()
+        .map(|(_, id, _)| id)
+        .collect();
     assert!(ids.iter().all(|id| id == "e02" || id == "e03"), "{ids:?}");
-    let test = test.pass(14_000);
-    assert_eq!(test.versions(), vec![2; 4]);
+    let simulation = simulation.advance(14_000);
+    assert_eq!(simulation.versions(), vec![2; 4]);
 }
 
+// The first order may still arrive late: with the same count of accepted orders as its condition,
+// the engine carries out only one of the two.
 #[test]
-fn an_order_without_an_answer_is_given_again_under_the_same_condition() {
+fn an_order_without_an_answer_is_repeated_under_the_same_condition() {
     let mut reload = Reload::new(Policy::default());
     let mut at = 0;
     let mut step = |reload: &mut Reload, wait: u64, event: Event| {
@@ -278,13 +300,14 @@
     let again = step(&mut reload, 1, Event::Reported("e".to_owned(), report()));
     assert_eq!(first, again);
     let Effect::Order(order) = &again[0] else {
-        panic!("{again:?} is no order");
+        panic!("{again:?} is not an order");
     };
     assert_eq!(order.expected_orders, 7);
 }
 
+// A list that lags must not take back a version, but a new process may have older weights.
 #[test]
-fn an_engine_that_was_started_again_is_known_by_its_start() {
+fn the_weights_of_a_restarted_engine_may_be_older_than_before() {
     let mut reload = Reload::new(Policy::default());
     let mut listed = listed_upstream("e", MODEL, 3);
     reload.step(Instant(0), Event::Listed(vec![listed.clone()]));
