--- a/crates/coordination/src/desired_state.rs
+++ b/crates/coordination/src/desired_state.rs
@@ -1,4 +1,4 @@
-//! What the table asks of the engines.
+//! The desired state of the engines, as the table defines it.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +11,32 @@
 
 const DEFAULT_LOAD_LIMIT: u64 = 2;
 const DEFAULT_MINIMUM_SERVING: u64 = 1;
-const ENGINE: &str = "engine";
-const SERVING: &str = "serving";
+const ENGINE_TYPE: &str = "engine";
+const SERVING_STANDING: &str = "serving";
 
-/// Describes what one engine should serve.
+/// What one engine should serve.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Goal {
-    /// Names the adapter, if any.
+    /// Name of the adapter, if any.
     pub adapter: Option<String>,
-    /// Tells whether the engine refuses orders that carry an old fencing number.
+    /// Whether the engine refuses orders that carry an old fencing token.
     pub checks_fence: bool,
-    /// Bounds the engines that load at once.
+    /// Upper limit on the engines that load weights at once.
     pub load_limit: u64,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Names the role, where the table names one.
+    /// Role of the engine, if the table sets one.
     pub role: Option<String>,
-    /// Names the weights version.
+    /// Weights version.
     pub version: String,
 }
 
 impl Goal {
-    /// Returns the next order that leads from `standing` to this goal.
-    pub fn next_action(&self, standing: &EngineState) -> Option<Action> {
-        let serves = standing.model == self.model
-            && standing.version == self.version
-            && standing.adapter == self.adapter;
+    /// Returns the next action that leads from `state` to this goal, or `None` if it is reached.
+    pub fn next_action(&self, state: &EngineState) -> Option<Action> {
+        let serves = state.model == self.model
+            && state.version == self.version
+            && state.adapter == self.adapter;
         if !serves {
             return Some(Action::Load {
                 adapter: self.adapter.clone(),
@@ -45,22 +45,22 @@
             });
         }
         let role = self.role.clone()?;
-        (role != standing.role).then_some(Action::Role(role))
+        (role != state.role).then_some(Action::Role(role))
     }
 }
 
-/// Holds the goals of all engines.
+/// The goals of all engines, and how many engines each model must keep.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DesiredState {
-    /// Maps the names of engines to their goals.
+    /// Goals by the name of the engine.
     pub goals: BTreeMap<String, Goal>,
-    /// Maps the names of models to how many engines must go on serving them.
+    /// Number of engines that must go on serving a model, by the name of the model.
     pub minimum_serving: BTreeMap<String, u64>,
 }
 
 impl DesiredState {
-    /// Reads the goals from the table; an engine that leaves, is off or has no
-    /// model in the table has none.
+    /// Reads the desired state from the table. An engine that is leaving or off, or whose model is
+    /// not in the table, has no goal.
     pub fn from_table(table: &Table) -> Self {
         let minimum = |(name, row): (&str, &Row)| {
             let minimum = row.number(Column::MinimumServing);
@@ -73,27 +73,28 @@
         }
     }
 
-    /// Returns how many engines must go on serving `model`; none where it left the table.
+    /// Returns how many engines must go on serving `model`; 0 if it is no longer in the table.
     pub fn minimum_serving(&self, model: &str) -> u64 {
         self.minimum_serving.get(model).copied().unwrap_or_default()
     }
 
-    /// Returns whether no roll-out of others can ever let an engine go.
+    /// Returns whether the engine can never be taken out of service, because its model has no more
+    /// engines than must go on serving it.
     pub fn is_always_needed(&self, name: &str) -> bool {
         let Some(goal) = self.goals.get(name) else {
             return false;
         };
-        let same = self
+        let same_model = self
             .goals
             .values()
             .filter(|other| other.model == goal.model);
-        same.count() as u64 <= self.minimum_serving(&goal.model)
+        same_model.count() as u64 <= self.minimum_serving(&goal.model)
     }
 }
 
 fn goal(table: &Table, row: &Row) -> Option<Goal> {
-    let standing = row.text(Column::Standing).unwrap_or(SERVING);
-    if row.text(Column::Type) != Some(ENGINE) || standing != SERVING {
+    let standing = row.text(Column::Standing).unwrap_or(SERVING_STANDING);
+    if row.text(Column::Type) != Some(ENGINE_TYPE) || standing != SERVING_STANDING {
         return None;
     }
     let name = row.text(Column::Model)?;
--- a/crates/coordination/src/engine_state.rs
+++ b/crates/coordination/src/engine_state.rs
@@ -1,32 +1,32 @@
-//! What an engine serves, and what it is told to change.
+//! What an engine serves, and the actions that change it.
 
-/// Describes what an engine serves, as it said itself.
+/// What an engine serves, as it last reported.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineState {
-    /// Names the adapter, if any.
+    /// Name of the adapter, if any.
     pub adapter: Option<String>,
-    /// Names the version being loaded, if any.
+    /// Weights version that is being loaded, if any.
     pub loading: Option<String>,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Names the role.
+    /// Role of the engine.
     pub role: String,
-    /// Names the weights version.
+    /// Weights version.
     pub version: String,
 }
 
-/// Tells an engine what to change.
+/// A change that an engine is ordered to make.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Loads weights and empties the cache.
+    /// Loads weights, which empties the cache.
     Load {
-        /// Names the adapter, if any.
+        /// Name of the adapter, if any.
         adapter: Option<String>,
-        /// Names the model.
+        /// Name of the model.
         model: String,
-        /// Names the weights version.
+        /// Weights version.
         version: String,
     },
-    /// Changes the role.
+    /// Changes the role to the given one.
     Role(String),
 }
--- a/crates/coordination/src/grant.rs
+++ b/crates/coordination/src/grant.rs
@@ -1,4 +1,4 @@
-//! What a broker gives.
+//! The grant by which a broker sends a request to an upstream.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,52 +7,52 @@
 use state::ident::Incarnation;
 use state::rank::Rank;
 
-/// Bounds the scores that a grant carries for the record of the request.
-pub const SCORES: usize = 4;
+/// Upper limit on the scores that a grant carries for the record of the request.
+pub const MAX_SCORES: usize = 4;
 
-/// Names a cache from which an upstream should import blocks before it computes the rest.
+/// A cache from which an upstream should import blocks before it computes the rest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Import {
-    /// Gives how many leading blocks of the prompt the source holds.
+    /// Number of leading blocks of the prompt that the source holds.
     pub blocks: u32,
-    /// Names the upstream or store that holds them.
+    /// Name of the upstream or store that holds them.
     pub source: String,
 }
 
-/// Records what placement thought of one upstream.
+/// How placement rated one upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Score {
-    /// Gives the cost by which the upstreams were compared, in microseconds.
+    /// Cost by which the upstreams were compared, in microseconds.
     pub cost_us: u64,
-    /// Gives the expected time to the first token, in microseconds.
+    /// Expected time to first token, in microseconds.
     pub expected_us: u64,
-    /// Gives the leading blocks that the upstream was thought to hold.
+    /// Number of leading blocks of the prompt that the upstream was assumed to hold.
     pub resident_blocks: u32,
-    /// Names the upstream.
+    /// Name of the upstream.
     pub upstream: String,
 }
 
-/// Gives a request a place on an upstream.
+/// Admits a request to an upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Grant {
-    /// Gives the expected time to the first token, in microseconds.
+    /// Expected time to first token, in microseconds.
     pub expected_us: u64,
-    /// Names where to import missing blocks from, where that beats computing them.
+    /// Where to import missing blocks from, if that is faster than computing them.
     pub import: Option<Import>,
-    /// Identifies the run of the upstream, where it is known.
+    /// Incarnation of the upstream, if it is known.
     pub incarnation: Option<Incarnation>,
-    /// Ranks the request within the upstream, which may be above its own rank.
+    /// Rank of the request at the upstream, which may be above its own rank.
     pub priority: Rank,
-    /// Gives the leading blocks that the upstream is thought to hold.
+    /// Number of leading blocks of the prompt that the upstream is assumed to hold.
     pub resident_blocks: u32,
-    /// Lists the best upstreams, cheapest first.
+    /// Scores of the best upstreams, cheapest first.
     pub scores: Vec<Score>,
-    /// Identifies the placement.
+    /// ID of the placement.
     pub placement_id: PlacementId,
-    /// Names the upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// Names the weights version that the upstream serves, where it is known.
+    /// Weights version that the upstream serves, if it is known.
     pub version: Option<String>,
-    /// Gives the time that the request waited for its place, in milliseconds.
+    /// Time that the request waited in the broker's queue, in milliseconds.
     pub waited_ms: u64,
 }
--- a/crates/coordination/src/placement_request.rs
+++ b/crates/coordination/src/placement_request.rs
@@ -1,4 +1,4 @@
-//! What an entry asks a broker for.
+//! The request by which an entry host asks a broker for an upstream.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,47 +6,47 @@
 use state::ident::BlockHash;
 use state::rank::Rank;
 
-/// Identifies one placement of a request; an entry draws a new one at random for each attempt.
+/// Identifies one placement of a request; the entry host picks a new random one for each attempt.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct PlacementId(pub u128);
 
-/// Asks for an upstream and a place on it.
+/// Asks a broker to choose an upstream for a request and to admit the request there.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlacementRequest {
-    /// Gives the tokens of one block.
+    /// Tokens in one block.
     pub block_tokens: u32,
-    /// Lists the whole blocks of the prompt, from its start.
+    /// The full blocks of the prompt, from its start.
     pub blocks: Vec<BlockHash>,
-    /// Names the caller within its workspace.
+    /// Name of the caller within its workspace.
     pub caller: String,
-    /// Gives the time left until the first token is of no more use, in milliseconds.
+    /// Time left until the first token is of no more use, in milliseconds.
     pub deadline_ms: u64,
-    /// Names the failure domain of the entry.
+    /// Failure domain of the entry host.
     pub domain: String,
-    /// Names the upstreams that this request must not go to.
+    /// Names of the upstreams that this request must not go to.
     pub excluded: Vec<String>,
-    /// Names the kind of work.
+    /// Name of the kind of work.
     pub kind: String,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Gives the tokens that the answer is expected to have.
+    /// Expected length of the answer, in tokens.
     pub output_tokens: u32,
-    /// Gives the tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Ranks the request.
+    /// Rank that decides which queue the request waits in.
     pub rank: Rank,
-    /// Identifies the placement.
+    /// ID of this placement.
     pub placement_id: PlacementId,
-    /// Names the weights version that must serve the request, where an answer is resumed.
+    /// Weights version that must serve the request; set when an answer is resumed.
     pub version: Option<String>,
-    /// Names the workspace.
+    /// Name of the workspace.
     pub workspace: String,
 }
 
 impl PlacementRequest {
-    /// Returns the tokens of the prompt after its last whole block.
+    /// Returns the number of prompt tokens after the last full block.
     pub fn tail_tokens(&self) -> u32 {
         let whole = (self.blocks.len() as u32).saturating_mul(self.block_tokens);
         self.prompt_tokens.saturating_sub(whole)
--- a/crates/coordination/src/pool.rs
+++ b/crates/coordination/src/pool.rs
@@ -10,7 +10,7 @@
 use crate::engine_load::Standing;
 use crate::engine_load::Work;
 use crate::grant::Import;
-use crate::grant::SCORES;
+use crate::grant::MAX_SCORES;
 use crate::grant::Score;
 use crate::placement;
 use crate::placement::Candidate;
@@ -302,7 +302,7 @@
             resident: depth(best.slot),
             scores: ratings
                 .iter()
-                .take(SCORES)
+                .take(MAX_SCORES)
                 .map(|r| self.score(r, depth(r.slot)))
                 .collect(),
             slot: best.slot,
--- a/crates/coordination/src/report.rs
+++ b/crates/coordination/src/report.rs
@@ -1,4 +1,4 @@
-//! What entries and upstreams tell a broker.
+//! The reports that a broker gets from entry hosts and upstreams.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,54 +7,55 @@
 use crate::placement_request::PlacementRequest;
 use state::ident::Incarnation;
 
-/// Tells how far a granted request has come.
+/// The progress of a granted request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Progress {
-    /// Means that the upstream failed the request or was never reached.
+    /// The upstream failed the request or was never reached.
     Failed,
-    /// Means that the request ended, whole or cancelled.
+    /// The request ended, whether it was answered in full or cancelled.
     Finished,
-    /// Means that the first token arrived.
+    /// The first token arrived.
     FirstToken,
 }
 
-/// Describes a request that an earlier owner of its upstream placed.
+/// A request in flight that an earlier owner of its upstream placed; its entry host reports it to
+/// the new owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InFlightRequest {
-    /// Holds the ask.
+    /// The request as it was first sent to a broker.
     pub request: PlacementRequest,
-    /// Tells whether its first token arrived.
+    /// Whether its first token arrived, so that its prefill is over.
     pub prefilled: bool,
-    /// Names the upstream.
+    /// Name of the upstream.
     pub upstream: String,
 }
 
-/// Reports on a granted request.
+/// Reports the progress of a granted request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProgressReport {
-    /// Tells how far the request has come.
+    /// How far the request has come.
     pub progress: Progress,
-    /// Identifies the placement.
+    /// ID of the placement.
     pub placement_id: PlacementId,
 }
 
-/// Describes the load of an upstream at one moment.
+/// The load of an upstream at one moment, as the upstream reports it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Gives the age of the sample on arrival, in milliseconds.
+    /// Age of the report on arrival, in milliseconds.
     pub age_ms: u64,
-    /// Gives the prompt tokens of background work that wait to be computed.
+    /// Pending prefill tokens of background work.
     pub queued_background_tokens: u64,
-    /// Identifies the run of the upstream.
+    /// Incarnation of the upstream.
     pub incarnation: Incarnation,
-    /// Gives the prompt tokens that the upstream computes in a second.
+    /// Prefill rate of the upstream, in tokens per second.
     pub prefill_rate: u32,
-    /// Gives the requests that the upstream holds.
+    /// Requests that the upstream runs or queues.
     pub running: u32,
-    /// Gives the requests that the upstream runs at once.
+    /// Requests that the upstream can run at once.
     pub slots: u32,
-    /// Gives the prompt tokens of urgent work that wait to be computed.
+    /// Pending prefill tokens of urgent work.
     pub queued_urgent_tokens: u64,
-    /// Names the weights version that the upstream serves.
+    /// Weights version that the upstream serves.
     pub version: String,
 }
