--- a/crates/coordination/examples/measure/figures.rs
+++ b/crates/coordination/examples/measure/figures.rs
@@ -116,7 +116,7 @@
             let kept = record.origin.resident + record.origin.imported;
             let missing = (request.blocks.len() as u32).saturating_sub(kept);
             let tokens = u64::from(missing * BLOCK_TOKENS + request.tail);
-            work[request.rank.index()] += admission::work(tokens, request.output);
+            work[request.rank.index()] += admission::expected_work(tokens, request.output);
         }
         self.background_percent = percent(work[0], work[0] + work[1]);
     }
--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: who is served next, and who is refused early.
+//! Admission control: which request is served next, and which is refused early.
 //!
-//! Urgent work goes before background work, which keeps a floor of the work served. Inside a rank,
-//! service is fair by workspace, then by caller, in tokens of expected work.
+//! Urgent work goes before background work, which is guaranteed a share of the work served. Within
+//! a rank, service is fair by workspace, then by caller, in tokens of expected work.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -26,48 +26,48 @@
 use state::table::Table;
 use state::time::Instant;
 
-/// Gives the share of work that background keeps where the table names none, in percent.
+/// Share of the work that background work is guaranteed if the table sets none, in percent.
 pub const DEFAULT_FLOOR_PERCENT: u64 = 20;
 
-/// Bounds the requests of one caller that wait, in requests; a thirty-second of `QUEUE_LIMIT`.
-const CALLER_QUEUE: usize = 256;
-/// Gives the work of a token of an answer, in tokens of a prompt; it is a part of a whole step of
-/// the engine, where prompts are read many tokens at a time.
-const DECODE_COST: u64 = 4;
-/// Gives the least time after which a refused caller is asked to return, in milliseconds; a few
-/// steps of the engines of docs/MEASUREMENTS.md.
-const LEAST_RETRY_MS: u64 = 100;
-/// Bounds the requests in flight of a caller that counts as light, in requests: one that is
-/// answered and one that follows it.
-const LIGHT_INFLIGHT: u64 = 2;
+/// Upper limit on the queued requests of one caller: a thirty-second of `QUEUE_LIMIT`.
+const CALLER_QUEUE_LIMIT: usize = 256;
+/// Work of decoding one token, in prefill tokens. Each decoded token takes part in a whole step of
+/// the engine, while prefill computes many tokens in one step.
+const DECODE_TOKEN_WORK: u64 = 4;
+/// Shortest time after which a refused caller is told to retry, in milliseconds: a few steps of the
+/// engines in docs/MEASUREMENTS.md.
+const MIN_RETRY_AFTER_MS: u64 = 100;
+/// Most requests in flight with which a caller counts as light: one that is being answered and the
+/// one that follows it.
+const LIGHT_CALLER_MAX_IN_FLIGHT: u64 = 2;
 const MILLIS_PER_SECOND: u64 = 1_000;
-/// Bounds the share of work that background keeps, in percent, whatever the table names: urgent
-/// work has at least as much.
-const MOST_FLOOR_PERCENT: u64 = 50;
-/// Gives the share of its deadline that a request may wait, as divisors for background and urgent
-/// work; docs/design/load.md tells why an urgent flood is refused at a tenth.
-const PATIENCE_DIVISORS: [u64; 2] = [2, 10];
-/// Bounds the requests of one rank that wait, in requests, so that a flood does not fill the
-/// memory: what docs/CAPACITY.md states as the peak of the fleet fills it in five seconds.
+/// Upper limit on the share that background work is guaranteed, in percent, whatever the table
+/// sets: urgent work gets at least as much.
+const MAX_FLOOR_PERCENT: u64 = 50;
+/// Part of its deadline that a request may spend in the queue, as divisors for background and
+/// urgent work. docs/design/load.md explains why a flood of urgent work is refused at a tenth.
+const MAX_WAIT_DIVISORS: [u64; 2] = [2, 10];
+/// Upper limit on the queued requests of one rank, so that a flood does not fill the memory. The
+/// peak load of the fleet in docs/CAPACITY.md reaches it in five seconds.
 const QUEUE_LIMIT: usize = 8_192;
-/// Gives the time for which a workspace may save up its rate, in milliseconds; a burst at the start
+/// Time for which a workspace may save up its rate, in milliseconds, to allow a burst at the start
 /// of a job.
 const RATE_BURST_MS: u64 = 2_000;
-/// Bounds how far a queue is searched for a request that an engine can take, in requests, so that
-/// the cost of a search does not grow with the queue.
-const REACH: SearchLimits = SearchLimits {
+/// How far a queue is searched for a request that an engine can take, in requests, so that the cost
+/// of a search does not grow with the queue.
+const SEARCH_LIMITS: SearchLimits = SearchLimits {
     total: 48,
     per_caller: 8,
 };
-/// Counts the units of the whole share of a limit; shares are given in thousandths.
-const SHARE_UNIT: u64 = 1_000;
-/// Gives the time over which work is counted together, in milliseconds.
-const WINDOW_MS: u64 = 250;
-/// Counts the windows from which the pace of a rank is taken; two seconds in all, so that it
-/// follows a burst.
-const WINDOWS: usize = 8;
-
-/// Tells why a request got no place.
+/// The whole of a limit, in the unit of shares, which are thousandths.
+const FULL_SHARE: u64 = 1_000;
+/// Length of a window over which served work is summed, in milliseconds.
+const SERVICE_WINDOW_MS: u64 = 250;
+/// Number of windows from which the service rate of a rank is computed: two seconds in all, so that
+/// the rate follows a burst.
+const SERVICE_WINDOWS: usize = 8;
+
+/// The reason why a request was refused.
 #[derive(
     Clone,
     Copy,
@@ -86,52 +86,52 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// Means that the caller already has too many requests in flight.
+    /// The caller already has too many requests in flight.
     CallerLimit,
-    /// Means that the deadline has passed or cannot be met.
+    /// The deadline has passed or cannot be met.
     Deadline,
-    /// Means that the kind of work already has too many requests in flight.
+    /// The kind of work already has too many requests in flight.
     KindLimit,
-    /// Means that no upstream can take the request.
+    /// No upstream can take the request.
     NoUpstream,
-    /// Means that the broker owns no upstream of the model.
+    /// The broker owns no upstream of the model.
     NotOwner,
-    /// Means that the queue is full.
+    /// The queue is full.
     Overloaded,
-    /// Means that the workspace used its tokens for now.
+    /// The workspace has used up its token rate for now.
     RateLimit,
-    /// Means that the workspace already has too many requests in flight.
+    /// The workspace already has too many requests in flight.
     WorkspaceLimit,
 }
 
-/// Refuses a place; the request did not run.
+/// The refusal of a request, which did not run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
-#[error("no place: {reason}; try again in {retry_after_ms} ms")]
+#[error("request refused: {reason}; retry in {retry_after_ms} ms")]
 pub struct Refusal {
-    /// Tells why.
+    /// Why the request was refused.
     pub reason: Reason,
-    /// Gives the time after which to try again, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: u64,
-    /// Identifies the placement.
+    /// ID of the placement.
     pub placement_id: PlacementId,
 }
 
-/// Holds what the table says of a workspace.
+/// The rules of the table for a workspace.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Workspace {
-    /// Bounds the requests in flight of one caller.
+pub struct WorkspaceRules {
+    /// Upper limit on the requests in flight of one caller.
     pub caller_limit: Option<u64>,
-    /// Bounds the requests in flight.
+    /// Upper limit on the requests in flight.
     pub limit: Option<u64>,
-    /// Bounds the tokens of work in a second.
+    /// Upper limit on the tokens of prompts and answers per second.
     pub rate: Option<u64>,
-    /// Says how far hit rate goes before first-token time, from 0 to 100.
+    /// Preference for a high cache hit rate over a short time to first token, from 0 to 100.
     pub trade: u64,
-    /// Weighs the workspace against others.
+    /// Weight of the workspace against others in fair queueing.
     pub weight: u64,
 }
 
-impl Default for Workspace {
+impl Default for WorkspaceRules {
     fn default() -> Self {
         Self {
             caller_limit: None,
@@ -143,31 +143,31 @@
     }
 }
 
-/// Holds what the table says of a kind of work.
+/// The rules of the table for a kind of work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Kind {
-    /// Gives the share of work that the kind keeps in a flood, in percent.
+pub struct KindRules {
+    /// Share of the work that the kind is guaranteed under overload, in percent.
     pub floor: Option<u64>,
-    /// Bounds the requests in flight.
+    /// Upper limit on the requests in flight.
     pub limit: Option<u64>,
-    /// Ranks the kind.
+    /// Rank of the kind.
     pub rank: Rank,
 }
 
-/// Holds the rules of the table.
+/// The rules of admission that the table sets.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Rules {
-    /// Holds the kinds of work.
-    pub kinds: BTreeMap<String, Kind>,
-    /// Holds the workspaces.
-    pub workspaces: BTreeMap<String, Workspace>,
+    /// Rules by kind of work.
+    pub kinds: BTreeMap<String, KindRules>,
+    /// Rules by workspace.
+    pub workspaces: BTreeMap<String, WorkspaceRules>,
 }
 
 impl Rules {
     /// Reads the rules from a table.
-    pub fn read(table: &Table) -> Self {
+    pub fn from_table(table: &Table) -> Self {
         let kinds = table.sheet(Sheet::Kinds).map(|(name, row)| {
-            let kind = Kind {
+            let kind = KindRules {
                 floor: row.number(Column::Floor),
                 limit: row.number(Column::Limit),
                 rank: row
@@ -178,8 +178,8 @@
             (name.to_owned(), kind)
         });
         let workspaces = table.sheet(Sheet::Workspaces).map(|(name, row)| {
-            let default = Workspace::default();
-            let workspace = Workspace {
+            let default = WorkspaceRules::default();
+            let workspace = WorkspaceRules {
                 caller_limit: row.number(Column::CallerLimit),
                 limit: row.number(Column::Limit),
                 rate: row.number(Column::Rate),
@@ -194,49 +194,51 @@
         }
     }
 
-    /// Returns how far hit rate goes before first-token time for a workspace, from 0 to 100.
+    /// Returns the preference of a workspace for a high cache hit rate over a short time to first
+    /// token, from 0 to 100.
     pub fn trade(&self, workspace: &str) -> u64 {
         self.workspace(workspace).trade
     }
 
-    /// Returns the rules of a workspace.
-    pub fn workspace(&self, name: &str) -> Workspace {
+    /// Returns the rules of a workspace, or the defaults if the table has none.
+    pub fn workspace(&self, name: &str) -> WorkspaceRules {
         self.workspaces.get(name).copied().unwrap_or_default()
     }
 }
 
-/// Holds a request that waits for a place.
+/// A request that waits in a queue.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Waiting {
-    /// Holds the ask.
-    pub ask: PlacementRequest,
-    /// Gives the time at which it arrived.
-    pub since: Instant,
+pub struct QueuedRequest {
+    /// The request.
+    pub request: PlacementRequest,
+    /// Time at which it was queued.
+    pub queued_at: Instant,
 }
 
+/// What the requests of a workspace use: in flight in all and by caller, and its token rate.
 #[derive(Clone, Debug, Default)]
 struct Usage {
     callers: BTreeMap<String, u64>,
-    credit: u64,
-    inflight: u64,
-    refilled: Option<Instant>,
+    rate_credit: u64,
+    in_flight: u64,
+    refilled_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Served {
+struct ServedWork {
     requests: u64,
     work: u64,
 }
 
-/// Decides who is served next and who is refused.
+/// Decides which request is served next and which is refused.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    busy: [Option<Instant>; 2],
+    busy_since: [Option<Instant>; 2],
     kinds: BTreeMap<String, u64>,
-    queues: [FairQueue<Waiting>; 2],
+    queues: [FairQueue<QueuedRequest>; 2],
     rules: Arc<Rules>,
-    served: VecDeque<[Served; 2]>,
-    served_at: u64,
+    served_windows: VecDeque<[ServedWork; 2]>,
+    current_window: u64,
     share: u64,
     usage: BTreeMap<String, Usage>,
 }
@@ -244,92 +246,96 @@
 impl Default for Admission {
     fn default() -> Self {
         Self {
-            busy: [None; 2],
+            busy_since: [None; 2],
             kinds: BTreeMap::new(),
             queues: [FairQueue::default(), FairQueue::default()],
             rules: Arc::default(),
-            served: VecDeque::from([[Served::default(); 2]]),
-            served_at: 0,
-            share: SHARE_UNIT,
+            served_windows: VecDeque::from([[ServedWork::default(); 2]]),
+            current_window: 0,
+            share: FULL_SHARE,
             usage: BTreeMap::new(),
         }
     }
 }
 
 impl Admission {
-    /// Takes `ask` into its queue.
+    /// Adds `request` to the queue of its rank.
     ///
     /// # Errors
     ///
-    /// Refuses what is over a limit, what does not fit the queue, and what could not be served
-    /// before its deadline.
-    pub fn admit(&mut self, ask: PlacementRequest, now: Instant) -> Result<(), Refusal> {
+    /// Returns a refusal if the request is over a limit, does not fit into the queue, or would wait
+    /// too long for its deadline.
+    pub fn admit(&mut self, request: PlacementRequest, now: Instant) -> Result<(), Refusal> {
         let refuse = |reason, retry_after_ms: u64| Refusal {
             reason,
-            retry_after_ms: retry_after_ms.max(LEAST_RETRY_MS),
-            placement_id: ask.placement_id,
+            retry_after_ms: retry_after_ms.max(MIN_RETRY_AFTER_MS),
+            placement_id: request.placement_id,
         };
-        let place = place(&ask);
-        let rules = self.rules.workspace(&ask.workspace);
-        if let Some(reason) = self.over_limit(&ask, rules) {
+        let flow = flow_key(&request);
+        let rules = self.rules.workspace(&request.workspace);
+        if let Some(reason) = self.exceeded_limit(&request, rules) {
             return Err(refuse(reason, MILLIS_PER_SECOND));
         }
-        let queue = &self.queues[ask.rank.index()];
-        let fair = QUEUE_LIMIT / (2 * (queue.callers() + 1));
-        let mine = queue.len_of_caller(&place);
-        let crowded = queue.len() >= QUEUE_LIMIT / 2 && mine >= fair;
-        if mine >= CALLER_QUEUE || queue.len() >= QUEUE_LIMIT || crowded {
-            return Err(refuse(Reason::Overloaded, self.wait_ms(&ask, now)));
+        let queue = &self.queues[request.rank.index()];
+        let fair_share = QUEUE_LIMIT / (2 * (queue.callers() + 1));
+        let of_caller = queue.len_of_caller(&flow);
+        let over_fair_share = queue.len() >= QUEUE_LIMIT / 2 && of_caller >= fair_share;
+        if of_caller >= CALLER_QUEUE_LIMIT || queue.len() >= QUEUE_LIMIT || over_fair_share {
+            return Err(refuse(Reason::Overloaded, self.wait_ms(&request, now)));
         }
-        let wait = self.wait_ms(&ask, now);
-        let patience = ask.deadline_ms / PATIENCE_DIVISORS[ask.rank.index()];
-        if wait >= patience {
-            return Err(refuse(Reason::Deadline, wait - patience));
+        let wait = self.wait_ms(&request, now);
+        let max_wait = request.deadline_ms / MAX_WAIT_DIVISORS[request.rank.index()];
+        if wait >= max_wait {
+            return Err(refuse(Reason::Deadline, wait - max_wait));
         }
-        if let Some(wait) = self.over_rate(&ask, rules, now) {
+        if let Some(wait) = self.charge_rate(&request, rules, now) {
             return Err(refuse(Reason::RateLimit, wait));
         }
-        self.count(&ask);
-        let rank = ask.rank.index();
-        let waiting = Waiting { ask, since: now };
-        self.busy[rank].get_or_insert(now);
-        self.queues[rank].push(&place, waiting, rules.weight);
+        self.add_usage(&request);
+        let rank = request.rank.index();
+        let queued = QueuedRequest {
+            request,
+            queued_at: now,
+        };
+        self.busy_since[rank].get_or_insert(now);
+        self.queues[rank].push(&flow, queued, rules.weight);
         Ok(())
     }
 
-    /// Removes a waiting request whose caller left, and returns whether it was there.
+    /// Removes a queued request whose caller left, and returns whether there was one.
     pub fn cancel(&mut self, placement_id: PlacementId) -> bool {
         let mut found = false;
         for rank in 0..self.queues.len() {
-            for waiting in
-                self.queues[rank].remove(|waiting| waiting.ask.placement_id == placement_id)
+            for queued in
+                self.queues[rank].remove(|queued| queued.request.placement_id == placement_id)
             {
-                self.release(&waiting.ask);
+                self.remove_usage(&queued.request);
                 found = true;
             }
         }
         found
     }
 
-    /// Counts a request that was placed elsewhere or before a restart.
-    pub fn count(&mut self, ask: &PlacementRequest) {
-        let usage = self.usage.entry(ask.workspace.clone()).or_default();
-        usage.inflight += 1;
-        *usage.callers.entry(ask.caller.clone()).or_default() += 1;
-        *self.kinds.entry(ask.kind.clone()).or_default() += 1;
+    /// Counts a request against the limits of its workspace, caller and kind.
+    pub fn add_usage(&mut self, request: &PlacementRequest) {
+        let usage = self.usage.entry(request.workspace.clone()).or_default();
+        usage.in_flight += 1;
+        *usage.callers.entry(request.caller.clone()).or_default() += 1;
+        *self.kinds.entry(request.kind.clone()).or_default() += 1;
     }
 
-    /// Refuses the waiting requests whose deadline has passed.
+    /// Removes and refuses the queued requests whose deadline has passed.
     pub fn expire(&mut self, now: Instant) -> Vec<Refusal> {
         let mut refusals = Vec::new();
         for rank in 0..self.queues.len() {
-            let late = |waiting: &Waiting| now.since(waiting.since) >= waiting.ask.deadline_ms;
-            for waiting in self.queues[rank].remove(late) {
-                self.release(&waiting.ask);
+            let is_late =
+                |queued: &QueuedRequest| now.since(queued.queued_at) >= queued.request.deadline_ms;
+            for queued in self.queues[rank].remove(is_late) {
+                self.remove_usage(&queued.request);
                 refusals.push(Refusal {
                     reason: Reason::Deadline,
-                    retry_after_ms: self.wait_ms(&waiting.ask, now).max(LEAST_RETRY_MS),
-                    placement_id: waiting.ask.placement_id,
+                    retry_after_ms: self.wait_ms(&queued.request, now).max(MIN_RETRY_AFTER_MS),
+                    placement_id: queued.request.placement_id,
                 });
             }
             self.queues[rank].remove_idle();
@@ -337,56 +343,57 @@
         refusals
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.queues.iter().all(FairQueue::is_empty)
     }
 
-    /// Returns how many requests of `rank` wait.
+    /// Returns how many requests of `rank` are queued.
     pub fn len(&self, rank: Rank) -> usize {
         self.queues[rank.index()].len()
     }
 
-    /// Returns the rank to serve first, and whether the other is owed work.
-    pub fn next(&mut self, now: Instant) -> (Rank, bool) {
-        self.roll(now);
-        for (busy, queue) in self.busy.iter_mut().zip(&self.queues) {
+    /// Returns the rank to serve first, and whether it is background work that got less than its
+    /// guaranteed share.
+    pub fn next_rank(&mut self, now: Instant) -> (Rank, bool) {
+        self.advance_window(now);
+        for (busy_since, queue) in self.busy_since.iter_mut().zip(&self.queues) {
             if queue.is_empty() {
-                *busy = None;
+                *busy_since = None;
             }
         }
-        let waits = |rank: Rank| !self.queues[rank.index()].is_empty();
-        if !waits(Rank::Urgent) {
+        let is_waiting = |rank: Rank| !self.queues[rank.index()].is_empty();
+        if !is_waiting(Rank::Urgent) {
             return (Rank::Background, false);
         }
-        let [background, urgent] = self.recent().map(|served| served.work);
-        let floor = self.floor_percent();
-        let owed = background * 100 < (background + urgent) * floor;
-        match waits(Rank::Background) && owed {
+        let [background, urgent] = self.recent_totals().map(|served| served.work);
+        let floor = self.background_floor_percent();
+        let below_floor = background * 100 < (background + urgent) * floor;
+        match is_waiting(Rank::Background) && below_floor {
             true => (Rank::Background, true),
             false => (Rank::Urgent, false),
         }
     }
 
-    /// Ends the use of limits by a request that is over.
-    pub fn release(&mut self, ask: &PlacementRequest) {
-        if let Some(kind) = self.kinds.get_mut(&ask.kind) {
+    /// Stops counting a request that ended against the limits.
+    pub fn remove_usage(&mut self, request: &PlacementRequest) {
+        if let Some(kind) = self.kinds.get_mut(&request.kind) {
             *kind = kind.saturating_sub(1);
         }
-        let Some(usage) = self.usage.get_mut(&ask.workspace) else {
+        let Some(usage) = self.usage.get_mut(&request.workspace) else {
             return;
         };
-        usage.inflight = usage.inflight.saturating_sub(1);
-        if let Some(caller) = usage.callers.get_mut(&ask.caller) {
+        usage.in_flight = usage.in_flight.saturating_sub(1);
+        if let Some(caller) = usage.callers.get_mut(&request.caller) {
             *caller -= 1;
             if *caller == 0 {
-                usage.callers.remove(&ask.caller);
+                usage.callers.remove(&request.caller);
             }
         }
     }
 
-    /// Takes over the rules of a new table.
-    pub fn rule(&mut self, rules: Arc<Rules>) {
+    /// Sets the rules of a new table.
+    pub fn set_rules(&mut self, rules: Arc<Rules>) {
         self.rules = rules;
     }
 
@@ -396,92 +403,106 @@
     }
 
     /// Records work that was sent to an upstream.
-    pub fn serve(&mut self, rank: Rank, work: u64, now: Instant) {
-        self.roll(now);
-        if let Some(window) = self.served.back_mut() {
+    pub fn record_served(&mut self, rank: Rank, work: u64, now: Instant) {
+        self.advance_window(now);
+        if let Some(window) = self.served_windows.back_mut() {
             window[rank.index()].requests += 1;
             window[rank.index()].work += work;
         }
     }
 
-    /// Sets the part of each fleet-wide limit that this broker may use, in thousandths.
-    pub fn share(&mut self, thousandths: u64) {
-        self.share = thousandths.min(SHARE_UNIT);
+    /// Sets the share of each fleet-wide limit that this broker may use, in thousandths.
+    pub fn set_share(&mut self, thousandths: u64) {
+        self.share = thousandths.min(FULL_SHARE);
     }
 
-    /// Looks at the requests of `rank` in order of service and takes the first that `judge` takes.
+    /// Visits the requests of `rank` in order of service and removes the first that `decide` takes.
     ///
-    /// `judge` also learns whether the caller has little in flight.
+    /// The second argument of `decide` says whether the caller has few requests in flight.
     pub fn take(
         &mut self,
         rank: Rank,
-        mut judge: impl FnMut(&Waiting, bool) -> Verdict,
-    ) -> Option<Waiting> {
+        mut decide: impl FnMut(&QueuedRequest, bool) -> Verdict,
+    ) -> Option<QueuedRequest> {
         let usage = &self.usage;
-        self.queues[rank.index()].take(REACH, |waiting| {
-            let usage = usage.get(&waiting.ask.workspace);
-            let caller = usage.and_then(|usage| usage.callers.get(&waiting.ask.caller));
-            judge(waiting, caller.is_none_or(|count| *count <= LIGHT_INFLIGHT))
+        self.queues[rank.index()].take(SEARCH_LIMITS, |queued| {
+            let usage = usage.get(&queued.request.workspace);
+            let caller = usage.and_then(|usage| usage.callers.get(&queued.request.caller));
+            decide(
+                queued,
+                caller.is_none_or(|count| *count <= LIGHT_CALLER_MAX_IN_FLIGHT),
+            )
         })
     }
 
-    /// Returns the share of work that background keeps, in percent.
-    pub fn floor_percent(&self) -> u64 {
-        let background = |kind: &&Kind| kind.rank == Rank::Background;
-        let named = self.rules.kinds.values().filter(background);
-        let floors: Vec<u64> = named.filter_map(|kind| kind.floor).collect();
+    /// Returns the share of the work that background work is guaranteed, in percent.
+    pub fn background_floor_percent(&self) -> u64 {
+        let is_background = |kind: &&KindRules| kind.rank == Rank::Background;
+        let background_kinds = self.rules.kinds.values().filter(is_background);
+        let floors: Vec<u64> = background_kinds.filter_map(|kind| kind.floor).collect();
         match floors.is_empty() {
             true => DEFAULT_FLOOR_PERCENT,
-            false => floors.iter().sum::<u64>().min(MOST_FLOOR_PERCENT),
+            false => floors.iter().sum::<u64>().min(MAX_FLOOR_PERCENT),
         }
     }
 
-    fn over_limit(&self, ask: &PlacementRequest, rules: Workspace) -> Option<Reason> {
-        let over = |used: u64, limit: Option<u64>| limit.is_some_and(|l| used >= self.part(l));
-        let kind = self.rules.kinds.get(&ask.kind).and_then(|kind| kind.limit);
-        let used = self.kinds.get(&ask.kind).copied().unwrap_or(0);
-        if over(used, kind) {
+    fn exceeded_limit(&self, request: &PlacementRequest, rules: WorkspaceRules) -> Option<Reason> {
+        let is_over =
+            |used: u64, limit: Option<u64>| limit.is_some_and(|l| used >= self.own_share(l));
+        let kind = self
+            .rules
+            .kinds
+            .get(&request.kind)
+            .and_then(|kind| kind.limit);
+        let used = self.kinds.get(&request.kind).copied().unwrap_or(0);
+        if is_over(used, kind) {
             return Some(Reason::KindLimit);
         }
-        let usage = self.usage.get(&ask.workspace);
-        let caller = usage.and_then(|usage| usage.callers.get(&ask.caller));
-        if over(caller.copied().unwrap_or(0), rules.caller_limit) {
+        let usage = self.usage.get(&request.workspace);
+        let caller = usage.and_then(|usage| usage.callers.get(&request.caller));
+        if is_over(caller.copied().unwrap_or(0), rules.caller_limit) {
             return Some(Reason::CallerLimit);
         }
-        let inflight = usage.map_or(0, |usage| usage.inflight);
-        over(inflight, rules.limit).then_some(Reason::WorkspaceLimit)
+        let in_flight = usage.map_or(0, |usage| usage.in_flight);
+        is_over(in_flight, rules.limit).then_some(Reason::WorkspaceLimit)
     }
 
-    /// Charges the request to the workspace's rate, or returns the time until it fits.
-    fn over_rate(&mut self, ask: &PlacementRequest, rules: Workspace, now: Instant) -> Option<u64> {
-        let rate = self.part(rules.rate?);
-        let usage = self.usage.entry(ask.workspace.clone()).or_default();
-        let most = (rate * RATE_BURST_MS / MILLIS_PER_SECOND).max(1);
-        let passed = usage.refilled.map_or(RATE_BURST_MS, |at| now.since(at));
+    /// Charges the request to the token rate of its workspace, or returns the time until it fits.
+    fn charge_rate(
+        &mut self,
+        request: &PlacementRequest,
+        rules: WorkspaceRules,
+        now: Instant,
+    ) -> Option<u64> {
+        let rate = self.own_share(rules.rate?);
+        let usage = self.usage.entry(request.workspace.clone()).or_default();
+        let max_credit = (rate * RATE_BURST_MS / MILLIS_PER_SECOND).max(1);
+        let passed = usage.refilled_at.map_or(RATE_BURST_MS, |at| now.since(at));
         let refill = passed.saturating_mul(rate) / MILLIS_PER_SECOND;
         if refill > 0 {
-            usage.credit = (usage.credit + refill).min(most);
-            usage.refilled = Some(now);
+            usage.rate_credit = (usage.rate_credit + refill).min(max_credit);
+            usage.refilled_at = Some(now);
         }
-        let need = (u64::from(ask.prompt_tokens) + u64::from(ask.output_tokens)).min(most);
-        if usage.credit < need {
-            let missing = need - usage.credit;
+        let need =
+            (u64::from(request.prompt_tokens) + u64::from(request.output_tokens)).min(max_credit);
+        if usage.rate_credit < need {
+            let missing = need - usage.rate_credit;
             return Some(missing * MILLIS_PER_SECOND / rate.max(1));
         }
-        usage.credit -= need;
+        usage.rate_credit -= need;
         None
     }
 
-    fn part(&self, limit: u64) -> u64 {
+    fn own_share(&self, limit: u64) -> u64 {
         match limit {
             0 => 0,
-            _ => (limit * self.share / SHARE_UNIT).max(1),
+            _ => (limit * self.share / FULL_SHARE).max(1),
         }
     }
 
-    fn recent(&self) -> [Served; 2] {
-        let mut sums = [Served::default(); 2];
-        for window in &self.served {
+    fn recent_totals(&self) -> [ServedWork; 2] {
+        let mut sums = [ServedWork::default(); 2];
+        for window in &self.served_windows {
             for (sum, served) in sums.iter_mut().zip(window) {
                 sum.requests += served.requests;
                 sum.work += served.work;
@@ -490,44 +511,47 @@
         sums
     }
 
-    fn roll(&mut self, now: Instant) {
-        let window = now.0 / WINDOW_MS;
-        let passed = window.saturating_sub(self.served_at).min(WINDOWS as u64);
-        self.served_at = window;
+    fn advance_window(&mut self, now: Instant) {
+        let window = now.0 / SERVICE_WINDOW_MS;
+        let passed = window
+            .saturating_sub(self.current_window)
+            .min(SERVICE_WINDOWS as u64);
+        self.current_window = window;
         for _ in 0..passed {
-            self.served.push_back([Served::default(); 2]);
+            self.served_windows.push_back([ServedWork::default(); 2]);
         }
-        while self.served.len() > WINDOWS {
-            self.served.pop_front();
+        while self.served_windows.len() > SERVICE_WINDOWS {
+            self.served_windows.pop_front();
         }
     }
 
-    /// Returns how long a request would wait, from the pace at which its rank was served lately.
+    /// Returns how long a request would wait, estimated from the recent service rate of its rank.
     ///
-    /// The pace counts only once the queue has been busy for all the time it is taken over.
-    fn wait_ms(&self, ask: &PlacementRequest, now: Instant) -> u64 {
-        let rank = ask.rank.index();
+    /// The rate is used only once the queue has been busy for all the time over which it is
+    /// computed; until then the estimate is 0.
+    fn wait_ms(&self, request: &PlacementRequest, now: Instant) -> u64 {
+        let rank = request.rank.index();
         let queue = &self.queues[rank];
-        let paced = WINDOW_MS * WINDOWS as u64;
-        let busy = self.busy[rank].is_some_and(|since| now.since(since) >= paced);
+        let span_ms = SERVICE_WINDOW_MS * SERVICE_WINDOWS as u64;
+        let busy = self.busy_since[rank].is_some_and(|since| now.since(since) >= span_ms);
         if queue.is_empty() || !busy {
             return 0;
         }
-        let mine = queue.len_of_caller(&place(ask));
-        let ahead = queue.len().min((mine + 1) * (queue.callers() + 1));
-        ahead as u64 * paced / self.recent()[rank].requests.max(1)
+        let of_caller = queue.len_of_caller(&flow_key(request));
+        let ahead = queue.len().min((of_caller + 1) * (queue.callers() + 1));
+        ahead as u64 * span_ms / self.recent_totals()[rank].requests.max(1)
     }
 }
 
-/// Returns the expected work of a request, in tokens of prompt.
-pub fn work(uncached_tokens: u64, output_tokens: u32) -> u64 {
-    uncached_tokens + u64::from(output_tokens) * DECODE_COST
+/// Returns the expected work of a request, in prefill tokens.
+pub fn expected_work(uncached_tokens: u64, output_tokens: u32) -> u64 {
+    uncached_tokens + u64::from(output_tokens) * DECODE_TOKEN_WORK
 }
 
-/// Returns the place of a request in its queue.
-pub fn place(ask: &PlacementRequest) -> FlowKey {
+/// Returns the flow of a request in the fair queue.
+pub fn flow_key(request: &PlacementRequest) -> FlowKey {
     FlowKey {
-        caller: ask.caller.clone(),
-        workspace: ask.workspace.clone(),
+        caller: request.caller.clone(),
+        workspace: request.workspace.clone(),
     }
 }
--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -1,7 +1,8 @@
-//! The broker: one owner of the cache directory, load and admission of its upstreams.
+//! The broker, which admits and places requests on the upstreams that it owns.
 //!
-//! All its state is soft. A new owner rebuilds it from cache snapshots, load reports and what the
-//! entries report again.
+//! A broker is the only owner of the cache directory, the load and the queues of its upstreams. It
+//! keeps only soft state: a new owner rebuilds it from cache snapshots, load reports and the
+//! requests in flight that entry hosts report to it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,21 +15,21 @@
 use crate::admission::Reason;
 use crate::admission::Refusal;
 use crate::admission::Rules;
+use crate::engine_load::BackgroundTerms;
 use crate::engine_load::BackupLimit;
-use crate::engine_load::Class;
+use crate::engine_load::SentWork;
 use crate::engine_load::Standing;
-use crate::engine_load::Turn;
-use crate::engine_load::Work;
+use crate::engine_load::WorkClass;
 pub use crate::grant::Grant;
 pub use crate::placement_request::PlacementId;
 pub use crate::placement_request::PlacementRequest;
-use crate::pool::Pool;
-use crate::pool::Promised;
-use crate::pool::Proposal;
 pub use crate::report::InFlightRequest;
 use crate::report::LoadReport;
 use crate::report::Progress;
 pub use crate::report::ProgressReport;
+use crate::upstream_pool::Proposal;
+use crate::upstream_pool::QueuedWork;
+use crate::upstream_pool::UpstreamPool;
 use state::cache_directory;
 use state::cache_directory::Batch;
 use state::cache_directory::CacheDirectory;
@@ -39,205 +40,214 @@
 use state::table::Table;
 use state::time::Instant;
 
-const BUSY_DECAY: u64 = 64;
-const EXPIRY_MS: u64 = 50;
-const HELD_LIFETIME_MS: u64 = 600_000;
-const RESYNC_MS: u64 = 500;
+/// Part of the remembered demand of urgent work that is forgotten at each check for expired
+/// requests, as a divisor.
+const DEMAND_DECAY: u64 = 64;
+/// Time between two checks for expired requests, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 50;
+/// Age at which a placed request counts as ended, in case the report of its end was lost, in
+/// milliseconds.
+const IN_FLIGHT_LIFETIME_MS: u64 = 600_000;
+/// Least time between two requests for a snapshot of one upstream, and the time after which a
+/// request is retried that no upstream can take, in milliseconds.
+const RESYNC_INTERVAL_MS: u64 = 500;
 
-/// Tells a broker what happened.
+/// An event that a broker handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Asks for a place.
+    /// A request asks to be placed.
     Arrival(PlacementRequest),
-    /// Bounds the requests in flight on each upstream, for a broker that stands in for an owner.
+    /// Limits the requests in flight on each upstream, for a backup broker, which places requests
+    /// while the owner is unreachable.
     BackupLimit(BackupLimit),
-    /// Brings changes of an upstream's cache.
+    /// The cache of an upstream changed.
     Cache {
-        /// Holds the changes.
+        /// The changes, in order.
         batch: Batch,
-        /// Names the upstream.
+        /// Name of the upstream.
         upstream: String,
     },
-    /// Means that the caller of a request left before it was placed.
+    /// The caller of a request left before the request was placed.
     Cancel(PlacementId),
-    /// Reports a request again that an earlier owner placed.
+    /// A request that an earlier owner placed is still in flight.
     InFlight(InFlightRequest),
-    /// Brings a load report.
+    /// An upstream reported its load.
     Load {
-        /// Holds the report.
+        /// The load report.
         report: LoadReport,
-        /// Names the upstream.
+        /// Name of the upstream.
         upstream: String,
     },
-    /// Reports on a granted request.
+    /// A granted request made progress or ended.
     Report(ProgressReport),
-    /// Sets the part of each fleet-wide limit that this broker may use, in thousandths.
+    /// Sets the share of each fleet-wide limit that this broker may use, in thousandths.
     Share(u64),
-    /// Brings the whole content of an upstream's cache.
+    /// An upstream sent the whole content of its cache.
     Snapshot {
-        /// Holds the content.
+        /// The content.
         snapshot: Snapshot,
-        /// Names the upstream.
+        /// Name of the upstream.
         upstream: String,
     },
-    /// Tells whether an upstream may get new work.
+    /// The standing of an upstream, which says whether it may get new work, changed.
     Standing {
-        /// Holds the verdict.
+        /// The new standing.
         standing: Standing,
-        /// Names the upstream.
+        /// Name of the upstream.
         upstream: String,
     },
-    /// Brings a newer table.
+    /// There is a newer table.
     Table {
-        /// Names the upstreams that this broker owns; all of them where it is `None`.
+        /// Names of the upstreams that this broker owns; `None` means all.
         owned: Option<BTreeSet<String>>,
-        /// Holds the table.
+        /// The table.
         table: Arc<Table>,
     },
-    /// Means that time has passed.
+    /// Time has passed.
     Tick,
 }
 
-/// Tells the owner of a broker what to do.
+/// An action that the caller of [`Broker::step`] must take.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Asks an upstream to copy blocks to the kept-KV store.
+    /// Have an upstream export blocks to the kept-KV store.
     Export {
-        /// Names the upstream that holds the blocks.
+        /// Name of the upstream that holds the blocks.
         source: String,
-        /// Names the store.
+        /// Name of the store.
         store: String,
-        /// Identifies the placement whose prompt holds them.
+        /// ID of the placement whose prompt consists of these blocks.
         placement_id: PlacementId,
     },
-    /// Gives a request its place.
+    /// Admit a request to an upstream.
     Grant(Box<Grant>),
-    /// Refuses a request.
+    /// Refuse a request.
     Refuse(Refusal),
-    /// Asks an upstream for the whole content of its cache.
+    /// Request the whole content of an upstream's cache.
     Resync {
-        /// Names the upstream.
+        /// Name of the upstream.
         upstream: String,
     },
 }
 
+/// A placed request that has not ended; `grant` is kept to answer a repeated request for placement.
 #[derive(Clone, Debug)]
-struct Placed {
-    ask: PlacementRequest,
+struct PlacedRequest {
+    request: PlacementRequest,
     grant: Option<Box<Grant>>,
-    slot: UpstreamIndex,
-    work: Work,
+    index: UpstreamIndex,
+    work: SentWork,
 }
 
-/// Places requests on the upstreams that it owns.
+/// Admits and places requests on the upstreams that it owns.
 #[derive(Clone, Debug, Default)]
 pub struct Broker {
     admission: Admission,
-    busy: u64,
+    urgent_demand: u64,
     directory: CacheDirectory,
-    expired: Instant,
-    held: HashMap<PlacementId, Placed>,
-    pool: Pool,
-    resyncs: BTreeMap<UpstreamIndex, Instant>,
-    waiting: HashSet<PlacementId>,
+    last_expiry: Instant,
+    in_flight: HashMap<PlacementId, PlacedRequest>,
+    upstreams: UpstreamPool,
+    last_resyncs: BTreeMap<UpstreamIndex, Instant>,
+    queued: HashSet<PlacementId>,
 }
 
 impl Broker {
-    /// Returns the directory, for measures and the operators' view.
+    /// Returns the cache directory, for metrics and status pages.
     pub fn directory(&self) -> &CacheDirectory {
         &self.directory
     }
 
     /// Returns how many placed requests have not ended.
     pub fn in_flight(&self) -> usize {
-        self.held.len()
+        self.in_flight.len()
     }
 
-    /// Returns the upstreams, for measures and the operators' view.
-    pub fn pool(&self) -> &Pool {
-        &self.pool
+    /// Returns the upstreams, for metrics and status pages.
+    pub fn upstreams(&self) -> &UpstreamPool {
+        &self.upstreams
     }
 
-    /// Returns how many requests of `rank` wait.
+    /// Returns how many requests of `rank` are queued.
     pub fn queued(&self, rank: Rank) -> usize {
         self.admission.len(rank)
     }
 
-    /// Takes in one event and returns what follows from it.
+    /// Handles one event and returns the effects.
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Arrival(ask) => self.ask(ask, now, &mut effects),
-            Event::BackupLimit(bound) => self.pool.bound(bound),
+            Event::Arrival(request) => self.on_arrival(request, now, &mut effects),
+            Event::BackupLimit(limit) => self.upstreams.set_backup_limit(limit),
             Event::Cache { batch, upstream } => {
-                self.cache(batch, &upstream, now, &mut effects);
+                self.on_cache(batch, &upstream, now, &mut effects);
                 return effects;
             }
-            Event::Cancel(placement_id) => self.cancel(placement_id, now),
-            Event::InFlight(held) => self.hold_again(held, now),
-            Event::Load { report, upstream } => self.load(report, &upstream, now, &mut effects),
-            Event::Report(report) => self.report(report, now, &mut effects),
-            Event::Share(thousandths) => self.admission.share(thousandths),
+            Event::Cancel(placement_id) => self.on_cancel(placement_id, now),
+            Event::InFlight(request) => self.on_in_flight(request, now),
+            Event::Load { report, upstream } => self.on_load(report, &upstream, now, &mut effects),
+            Event::Report(report) => self.on_progress(report, now, &mut effects),
+            Event::Share(thousandths) => self.admission.set_share(thousandths),
             Event::Snapshot { snapshot, upstream } => {
-                self.snapshot(&snapshot, &upstream, now, &mut effects);
+                self.on_snapshot(&snapshot, &upstream, now, &mut effects);
             }
-            Event::Standing { standing, upstream } => self.stand(standing, &upstream, now),
-            Event::Table { owned, table } => self.table(&table, owned.as_ref()),
+            Event::Standing { standing, upstream } => self.on_standing(standing, &upstream, now),
+            Event::Table { owned, table } => self.on_table(&table, owned.as_ref()),
             Event::Tick => self.tick(now, &mut effects),
         }
         self.dispatch(now, &mut effects);
         effects
     }
 
-    fn ask(&mut self, ask: PlacementRequest, now: Instant, effects: &mut Vec<Effect>) {
-        if let Some(held) = self.held.get(&ask.placement_id) {
-            effects.extend(held.grant.clone().map(Effect::Grant));
+    fn on_arrival(&mut self, request: PlacementRequest, now: Instant, effects: &mut Vec<Effect>) {
+        if let Some(placed) = self.in_flight.get(&request.placement_id) {
+            effects.extend(placed.grant.clone().map(Effect::Grant));
             return;
         }
-        let placement_id = ask.placement_id;
-        if self.waiting.contains(&placement_id) {
+        let placement_id = request.placement_id;
+        if self.queued.contains(&placement_id) {
             return;
         }
-        if !self.pool.serves(&ask) {
-            let reason = match self.pool.lists(&ask.model) {
+        if !self.upstreams.can_serve(&request) {
+            let reason = match self.upstreams.lists_model(&request.model) {
                 false => Reason::NotOwner,
                 true => Reason::NoUpstream,
             };
             effects.push(Effect::Refuse(Refusal {
                 reason,
-                retry_after_ms: RESYNC_MS,
+                retry_after_ms: RESYNC_INTERVAL_MS,
                 placement_id,
             }));
             return;
         }
-        match self.admission.admit(ask, now) {
+        match self.admission.admit(request, now) {
             Ok(()) => {
-                self.waiting.insert(placement_id);
+                self.queued.insert(placement_id);
             }
             Err(refusal) => effects.push(Effect::Refuse(refusal)),
         }
     }
 
-    fn cache(&mut self, batch: Batch, upstream: &str, now: Instant, effects: &mut Vec<Effect>) {
-        let Some(slot) = self.pool.slot(upstream) else {
+    fn on_cache(&mut self, batch: Batch, upstream: &str, now: Instant, effects: &mut Vec<Effect>) {
+        let Some(index) = self.upstreams.index_of(upstream) else {
             return;
         };
-        if self.pool.is_dead(slot) {
+        if self.upstreams.is_dead(index) {
             return;
         }
-        let before = self.directory.incarnation(slot);
+        let previous = self.directory.incarnation(index);
         let incarnation = batch.incarnation;
-        let outcome = self.directory.apply_batch(slot, batch, now);
-        if before.is_some_and(|before| before < incarnation) {
-            self.pool.restart(slot, incarnation, now);
+        let outcome = self.directory.apply_batch(index, batch, now);
+        if previous.is_some_and(|previous| previous < incarnation) {
+            self.upstreams.restart(index, incarnation, now);
         }
         if outcome == cache_directory::Outcome::Gap {
-            self.resync(slot, now, effects);
+            self.resync(index, now, effects);
         }
     }
 
-    fn cancel(&mut self, placement_id: PlacementId, now: Instant) {
-        if self.waiting.remove(&placement_id) {
+    fn on_cancel(&mut self, placement_id: PlacementId, now: Instant) {
+        if self.queued.remove(&placement_id) {
             self.admission.cancel(placement_id);
             return;
         }
@@ -246,165 +256,183 @@
 
     fn dispatch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         while !self.admission.is_empty() {
-            let (first, owed) = self.admission.next(now);
-            let other = match first {
+            let (first_rank, below_floor) = self.admission.next_rank(now);
+            let other_rank = match first_rank {
                 Rank::Background => Rank::Urgent,
                 Rank::Urgent => Rank::Background,
             };
-            let placed =
-                self.place(first, owed, now, effects) || self.place(other, false, now, effects);
-            if !placed {
+            let any_placed = self.place_next(first_rank, below_floor, now, effects)
+                || self.place_next(other_rank, false, now, effects);
+            if !any_placed {
                 return;
             }
         }
     }
 
     fn finish(&mut self, placement_id: PlacementId, now: Instant) {
-        if let Some(mut held) = self.held.remove(&placement_id) {
-            self.pool.end(held.slot, &mut held.work, now);
-            self.admission.release(&held.ask);
+        if let Some(mut placed) = self.in_flight.remove(&placement_id) {
+            self.upstreams
+                .record_end(placed.index, &mut placed.work, now);
+            self.admission.remove_usage(&placed.request);
         }
     }
 
-    fn hold_again(&mut self, held: InFlightRequest, now: Instant) {
-        let Some(slot) = self.pool.slot(&held.upstream) else {
+    fn on_in_flight(&mut self, in_flight: InFlightRequest, now: Instant) {
+        let Some(index) = self.upstreams.index_of(&in_flight.upstream) else {
             return;
         };
         let InFlightRequest {
-            request: ask,
-            prefilled,
-            ..
-        } = held;
-        if self.held.contains_key(&ask.placement_id) {
+            request, prefilled, ..
+        } = in_flight;
+        if self.in_flight.contains_key(&request.placement_id) {
             return;
         }
-        let mut work = self.pool.begin(slot, 0, ask.rank, ask.rank, now);
+        let mut work = self
+            .upstreams
+            .record_sent(index, 0, request.rank, request.rank, now);
         if prefilled {
-            self.pool.start(slot, &mut work, now);
+            self.upstreams.record_first_token(index, &mut work, now);
         }
-        self.admission.count(&ask);
-        let held = Placed {
-            ask,
+        self.admission.add_usage(&request);
+        let placed = PlacedRequest {
+            request,
             grant: None,
-            slot,
+            index,
             work,
         };
-        self.held.insert(held.ask.placement_id, held);
+        self.in_flight.insert(placed.request.placement_id, placed);
     }
 
-    fn load(
+    fn on_load(
         &mut self,
-        sample: LoadReport,
+        report: LoadReport,
         upstream: &str,
         now: Instant,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(slot) = self.pool.slot(upstream) else {
+        let Some(index) = self.upstreams.index_of(upstream) else {
             return;
         };
-        let known = self.directory.incarnation(slot);
-        if self.pool.measure(slot, sample, now) {
-            self.directory.invalidate(slot);
+        let known_incarnation = self.directory.incarnation(index);
+        if self.upstreams.apply_report(index, report, now) {
+            self.directory.invalidate(index);
         }
-        if known.is_none() {
-            self.resync(slot, now, effects);
+        if known_incarnation.is_none() {
+            self.resync(index, now, effects);
         }
     }
 
-    fn place(&mut self, rank: Rank, owed: bool, now: Instant, effects: &mut Vec<Effect>) -> bool {
-        let priority = if owed { Rank::Urgent } else { rank };
-        let turn = Turn {
-            owed,
-            reserve: self.pool.reserve(self.busy, self.admission.floor_percent()),
-            yields: self.admission.len(Rank::Urgent) > 0,
+    fn place_next(
+        &mut self,
+        rank: Rank,
+        below_floor: bool,
+        now: Instant,
+        effects: &mut Vec<Effect>,
+    ) -> bool {
+        let priority = if below_floor { Rank::Urgent } else { rank };
+        let terms = BackgroundTerms {
+            below_floor,
+            reserved_slots: self.upstreams.urgent_reserve(
+                self.urgent_demand,
+                self.admission.background_floor_percent(),
+            ),
+            urgent_waits: self.admission.len(Rank::Urgent) > 0,
         };
         let class = |light: bool| match rank {
-            Rank::Background => Class::Background(turn),
-            Rank::Urgent if light => Class::Light,
-            Rank::Urgent => Class::Heavy,
+            Rank::Background => WorkClass::Background(terms),
+            Rank::Urgent if light => WorkClass::LightCaller,
+            Rank::Urgent => WorkClass::HeavyCaller,
         };
-        if !self.pool.any_open(class(true), now) {
+        if !self.upstreams.any_accepts(class(true), now) {
             return false;
         }
         let mut chosen = None;
-        let mut promised = Promised::default();
-        let pool = &self.pool;
+        let mut queued_work = QueuedWork::default();
+        let upstreams = &self.upstreams;
         let directory = &self.directory;
         let rules = self.admission.rules();
-        let waiting = self.admission.take(rank, |waiting, light| {
-            let trade = rules.trade(&waiting.ask.workspace);
-            let ask = &waiting.ask;
-            let proposal = pool.propose(ask, priority, trade, directory, &promised, now);
-            if !pool.open(proposal.slot, class(light), now) {
-                promised.add(proposal.slot, proposal.work_us);
+        let queued = self.admission.take(rank, |queued, light| {
+            let trade = rules.trade(&queued.request.workspace);
+            let request = &queued.request;
+            let proposal =
+                upstreams.propose(request, priority, trade, directory, &queued_work, now);
+            if !upstreams.accepts(proposal.index, class(light), now) {
+                queued_work.add(proposal.index, proposal.work_us);
                 return Verdict::Skip;
             }
             let work = proposal.work;
             chosen = Some(proposal);
             Verdict::Take(work)
         });
-        let (Some(waiting), Some(proposal)) = (waiting, chosen) else {
+        let (Some(queued), Some(proposal)) = (queued, chosen) else {
             return false;
         };
-        self.waiting.remove(&waiting.ask.placement_id);
-        self.hold(waiting, proposal, now, effects);
+        self.queued.remove(&queued.request.placement_id);
+        self.grant(queued, proposal, now, effects);
         true
     }
 
-    fn hold(
+    fn grant(
         &mut self,
-        waiting: admission::Waiting,
+        queued: admission::QueuedRequest,
         proposal: Proposal,
         now: Instant,
         effects: &mut Vec<Effect>,
     ) {
-        let ask = waiting.ask;
-        let slot = proposal.slot;
-        let tokens = proposal.tokens;
-        let work = self
-            .pool
-            .begin(slot, tokens, ask.rank, proposal.priority, now);
-        let served = admission::work(tokens, ask.output_tokens);
-        self.admission.serve(ask.rank, served, now);
-        self.directory.add_expected(slot, &ask.blocks, now);
+        let request = queued.request;
+        let index = proposal.index;
+        let prefill_tokens = proposal.prefill_tokens;
+        let work =
+            self.upstreams
+                .record_sent(index, prefill_tokens, request.rank, proposal.priority, now);
+        let served = admission::expected_work(prefill_tokens, request.output_tokens);
+        self.admission.record_served(request.rank, served, now);
+        self.directory.add_expected(index, &request.blocks, now);
         let grant = Box::new(Grant {
             expected_us: proposal.expected_us,
             import: proposal.import,
-            incarnation: self.directory.incarnation(slot),
+            incarnation: self.directory.incarnation(index),
             priority: proposal.priority,
-            resident_blocks: proposal.resident,
+            resident_blocks: proposal.resident_blocks,
             scores: proposal.scores,
-            placement_id: ask.placement_id,
-            upstream: self.pool.name(slot).to_owned(),
-            version: self.pool.version(slot).map(str::to_owned),
-            waited_ms: now.since(waiting.since),
+            placement_id: request.placement_id,
+            upstream: self.upstreams.name(index).to_owned(),
+            version: self.upstreams.version(index).map(str::to_owned),
+            waited_ms: now.since(queued.queued_at),
         });
         effects.push(Effect::Grant(grant.clone()));
-        let held = Placed {
-            ask,
+        let placed = PlacedRequest {
+            request,
             grant: Some(grant),
-            slot,
+            index,
             work,
         };
-        self.held.insert(held.ask.placement_id, held);
+        self.in_flight.insert(placed.request.placement_id, placed);
     }
 
-    fn report(&mut self, report: ProgressReport, now: Instant, effects: &mut Vec<Effect>) {
+    fn on_progress(&mut self, report: ProgressReport, now: Instant, effects: &mut Vec<Effect>) {
         match report.progress {
             Progress::Failed => {
-                if let Some(held) = self.held.get(&report.placement_id) {
-                    self.directory.remove_expected(held.slot, &held.ask.blocks);
-                    self.pool.fail(held.slot, now);
+                if let Some(placed) = self.in_flight.get(&report.placement_id) {
+                    self.directory
+                        .remove_expected(placed.index, &placed.request.blocks);
+                    self.upstreams.record_failure(placed.index, now);
                 }
                 self.finish(report.placement_id, now);
             }
             Progress::Finished => self.finish(report.placement_id, now),
             Progress::FirstToken => {
-                if let Some(held) = self.held.get_mut(&report.placement_id) {
-                    self.pool.start(held.slot, &mut held.work, now);
-                    let store = self.pool.store(&held.ask, held.slot, &self.directory, now);
+                if let Some(placed) = self.in_flight.get_mut(&report.placement_id) {
+                    self.upstreams
+                        .record_first_token(placed.index, &mut placed.work, now);
+                    let store = self.upstreams.export_target(
+                        &placed.request,
+                        placed.index,
+                        &self.directory,
+                        now,
+                    );
                     effects.extend(store.map(|store| Effect::Export {
-                        source: self.pool.name(held.slot).to_owned(),
+                        source: self.upstreams.name(placed.index).to_owned(),
                         store,
                         placement_id: report.placement_id,
                     }));
@@ -413,73 +441,75 @@
         }
     }
 
-    /// Asks for a snapshot, unless one was asked for a moment ago.
-    fn resync(&mut self, slot: UpstreamIndex, now: Instant, effects: &mut Vec<Effect>) {
-        let asked = self.resyncs.get(&slot);
-        if asked.is_some_and(|asked| now.since(*asked) < RESYNC_MS) {
+    /// Requests a snapshot, unless one was requested less than `RESYNC_INTERVAL_MS` ago.
+    fn resync(&mut self, index: UpstreamIndex, now: Instant, effects: &mut Vec<Effect>) {
+        let requested_at = self.last_resyncs.get(&index);
+        if requested_at.is_some_and(|requested_at| now.since(*requested_at) < RESYNC_INTERVAL_MS) {
             return;
         }
-        self.resyncs.insert(slot, now);
+        self.last_resyncs.insert(index, now);
         effects.push(Effect::Resync {
-            upstream: self.pool.name(slot).to_owned(),
+            upstream: self.upstreams.name(index).to_owned(),
         });
     }
 
-    fn snapshot(
+    fn on_snapshot(
         &mut self,
         snapshot: &Snapshot,
         upstream: &str,
         now: Instant,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(slot) = self.pool.slot(upstream) else {
+        let Some(index) = self.upstreams.index_of(upstream) else {
             return;
         };
-        if self.pool.is_dead(slot) {
+        if self.upstreams.is_dead(index) {
             return;
         }
-        if self.directory.apply_snapshot(slot, snapshot, now) == cache_directory::Outcome::Gap {
-            self.resync(slot, now, effects);
+        if self.directory.apply_snapshot(index, snapshot, now) == cache_directory::Outcome::Gap {
+            self.resync(index, now, effects);
         }
     }
 
-    fn stand(&mut self, standing: Standing, upstream: &str, now: Instant) {
-        let Some(slot) = self.pool.slot(upstream) else {
+    fn on_standing(&mut self, standing: Standing, upstream: &str, now: Instant) {
+        let Some(index) = self.upstreams.index_of(upstream) else {
             return;
         };
-        self.pool.stand(slot, standing, now);
+        self.upstreams.set_standing(index, standing, now);
         if standing == Standing::Dead {
-            self.directory.invalidate(slot);
+            self.directory.invalidate(index);
         }
     }
 
-    fn table(&mut self, table: &Table, owned: Option<&BTreeSet<String>>) {
-        self.pool.update(table, owned);
-        self.admission.rule(Arc::new(Rules::read(table)));
-        for slot in self.pool.gone() {
-            self.directory.invalidate(slot);
+    fn on_table(&mut self, table: &Table, owned: Option<&BTreeSet<String>>) {
+        self.upstreams.update(table, owned);
+        self.admission.set_rules(Arc::new(Rules::from_table(table)));
+        for index in self.upstreams.unlisted() {
+            self.directory.invalidate(index);
         }
     }
 
     fn tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        for slot in self.directory.tick(now) {
-            self.resync(slot, now, effects);
+        for index in self.directory.tick(now) {
+            self.resync(index, now, effects);
         }
-        if now.since(self.expired) < EXPIRY_MS {
+        if now.since(self.last_expiry) < EXPIRY_INTERVAL_MS {
             return;
         }
-        self.expired = now;
-        let busy = self.pool.urgent() + self.admission.len(Rank::Urgent) as u64;
-        self.busy = busy.max(self.busy - self.busy.div_ceil(BUSY_DECAY));
+        self.last_expiry = now;
+        let demand = self.upstreams.urgent_in_flight() + self.admission.len(Rank::Urgent) as u64;
+        self.urgent_demand =
+            demand.max(self.urgent_demand - self.urgent_demand.div_ceil(DEMAND_DECAY));
         for refusal in self.admission.expire(now) {
-            self.waiting.remove(&refusal.placement_id);
+            self.queued.remove(&refusal.placement_id);
             effects.push(Effect::Refuse(refusal));
         }
-        let lost = |held: &Placed| now.since(held.work.granted) >= HELD_LIFETIME_MS;
+        let is_lost =
+            |placed: &PlacedRequest| now.since(placed.work.granted_at) >= IN_FLIGHT_LIFETIME_MS;
         let placement_ids: Vec<PlacementId> = self
-            .held
+            .in_flight
             .iter()
-            .filter(|(_, held)| lost(held))
+            .filter(|(_, placed)| is_lost(placed))
             .map(|(placement_id, _)| *placement_id)
             .collect();
         for placement_id in placement_ids {
--- a/crates/coordination/src/engine_load.rs
+++ b/crates/coordination/src/engine_load.rs
@@ -1,55 +1,64 @@
-//! What a broker knows of the load of one upstream.
+//! The load of one engine, as its broker tracks it.
 //!
-//! Reported load lags, so the work that the broker itself sent since the report is added to it.
-//! Requests that two reports in a row show beyond the broker's own were sent by others.
+//! Load reports lag, so the broker adds the work that it has sent since the last report. Requests
+//! beyond the broker's own that two reports in a row show were sent by other hosts.
 
 use crate::report::LoadReport;
 use state::ident::Incarnation;
 use state::rank::Rank;
 use state::time::Instant;
 
-/// Gives the rate that is assumed until an upstream reports its own, in tokens a second.
+/// Prefill rate that is assumed until an engine reports its own, in tokens per second.
 pub const DEFAULT_PREFILL_RATE: u32 = 10_000;
-/// Gives the requests at once that are assumed until an upstream reports its own bound.
+/// Number of requests that an engine is assumed to run at once until it reports its own limit.
 pub const DEFAULT_SLOTS: u32 = 16;
 
-const BACKGROUND_WINDOW_MS: u64 = 250;
-const DEFAULT_SERVICE_MS: u64 = 2_000;
+/// Prefill backlog up to which an engine takes background work, in milliseconds.
+const MAX_BACKGROUND_BACKLOG_MS: u64 = 250;
+/// Service time that is assumed until the first request ends, in milliseconds.
+const DEFAULT_SERVICE_TIME_MS: u64 = 2_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 const MILLIS_PER_SECOND: u64 = 1_000;
-const FAILED_MS: u64 = 1_000;
+/// Time for which an engine is penalized after it failed a request, and the wait that is added
+/// meanwhile, in milliseconds.
+const FAILURE_PENALTY_MS: u64 = 1_000;
+/// One slot in this many is kept for callers that have few requests in flight.
 const LIGHT_SLOTS_DIVISOR: u32 = 16;
-const LIGHT_WINDOW_MS: u64 = 150;
-const SERVICE_SAMPLES: u64 = 8;
-const URGENT_WINDOW_MS: u64 = 30;
-
-/// Tells whether an upstream may get new work.
+/// Prefill backlog up to which an engine takes urgent work of a light caller, in milliseconds.
+const MAX_LIGHT_BACKLOG_MS: u64 = 150;
+/// Number of samples over which the moving average of the service time extends.
+const SERVICE_TIME_SAMPLES: u64 = 8;
+/// Prefill backlog up to which an engine takes other urgent work, in milliseconds.
+const MAX_URGENT_BACKLOG_MS: u64 = 30;
+
+/// Whether an upstream may get new work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Standing {
-    /// Means that the upstream is gone and its cache with it.
+    /// The upstream is gone, and its cache with it.
     Dead,
-    /// Means that the upstream fails too often and is left alone for a while.
+    /// The upstream fails too often and gets no work for a while.
     Ejected,
-    /// Means that the upstream finishes what it has and gets no more.
+    /// The upstream finishes the work that it has and gets no more.
     Leaving,
-    /// Means that the upstream takes work.
+    /// The upstream takes work.
     #[default]
     Usable,
 }
 
-/// Bounds what one of several hosts that stand in for an owner may use of an upstream.
+/// Limits what each of several backup brokers, which place requests while the owner of an upstream
+/// is unreachable, may use of that upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct BackupLimit {
-    /// Gives how many hosts may stand in.
+    /// Number of hosts that may act as a backup.
     pub hosts: u32,
-    /// Gives the slots that each may use.
+    /// Slots that each of them may use.
     pub slots: u32,
 }
 
 impl BackupLimit {
-    /// Returns the part of a limit that one host may use; all parts together keep to the limit
-    /// where it is at least the number of hosts.
-    fn part(self, limit: u32) -> u32 {
+    /// Returns the part of `limit` that one host may use. All parts together stay within the limit
+    /// if it is at least the number of hosts.
+    fn share_of(self, limit: u32) -> u32 {
         match limit {
             0 => 0,
             _ => (limit / self.hosts.max(1)).max(1),
@@ -57,274 +66,294 @@
     }
 }
 
-/// Describes work that was sent to an upstream.
+/// Work that was sent to an engine and has not ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Work {
-    /// Numbers the run of the upstream, as the broker counts them.
+pub struct SentWork {
+    /// Number of resets of the engine's load before this work; older work no longer counts.
     pub epoch: u64,
-    /// Gives the time of the grant.
-    pub granted: Instant,
-    /// Ranks the work within the upstream.
+    /// Time of the grant.
+    pub granted_at: Instant,
+    /// Rank of the work at the engine, which may be above its own rank.
     pub priority: Rank,
-    /// Ranks the work itself.
+    /// Rank of the work itself.
     pub rank: Rank,
-    /// Tells whether the first token arrived.
-    pub started: bool,
-    /// Gives the prompt tokens that the upstream has to compute.
-    pub tokens: u64,
+    /// Whether the first token arrived, so that the prefill is over.
+    pub prefilled: bool,
+    /// Prompt tokens that the engine has to prefill.
+    pub prefill_tokens: u64,
 }
 
-/// Describes the terms on which background work is taken.
+/// The conditions under which background work is taken.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Turn {
-    /// Tells whether background is below its floor, so that this work goes before urgent work.
-    pub owed: bool,
-    /// Gives the slots that background leaves to urgent work.
-    pub reserve: u32,
-    /// Tells whether urgent work waits.
-    pub yields: bool,
+pub struct BackgroundTerms {
+    /// Whether background work is below its guaranteed share, so that it goes before urgent work.
+    pub below_floor: bool,
+    /// Slots that background work must leave free for urgent work.
+    pub reserved_slots: u32,
+    /// Whether urgent work is queued at the broker.
+    pub urgent_waits: bool,
 }
 
-/// Classes work by how much of an upstream it may fill.
+/// Classes of work, which differ in how much of an engine they may fill.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Class {
-    /// Means background work.
-    Background(Turn),
-    /// Means urgent work of a caller that has much in flight.
-    Heavy,
-    /// Means urgent work of a caller that has little in flight.
-    Light,
+pub enum WorkClass {
+    /// Background work.
+    Background(BackgroundTerms),
+    /// Urgent work of a caller that has many requests in flight.
+    HeavyCaller,
+    /// Urgent work of a caller that has few requests in flight.
+    LightCaller,
 }
 
+/// The work of one rank that this broker sent.
+///
+/// `in_flight` counts requests by their own rank, the other fields by their rank at the engine.
 #[derive(Clone, Copy, Debug, Default)]
-struct Load {
-    inflight: u32,
-    pending: u32,
-    recent: u64,
-    tokens: u64,
+struct RankLoad {
+    in_flight: u32,
+    pending_prefills: u32,
+    tokens_since_report: u64,
+    pending_tokens: u64,
 }
 
-/// Tracks the load of one upstream.
+/// Tracks the load of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineLoad {
-    bound: Option<BackupLimit>,
-    loads: [Load; 2],
+    backup_limit: Option<BackupLimit>,
+    loads: [RankLoad; 2],
     epoch: u64,
-    excess: u32,
-    failed: Option<Instant>,
-    foreign: u32,
-    limit: Option<u32>,
-    measured: Instant,
-    progress: Instant,
-    sample: Option<LoadReport>,
-    service_ms: Option<u64>,
+    reported_excess: u32,
+    failed_at: Option<Instant>,
+    other_hosts_in_flight: u32,
+    table_limit: Option<u32>,
+    measured_at: Instant,
+    progress_at: Instant,
+    report: Option<LoadReport>,
+    mean_service_time_ms: Option<u64>,
 }
 
 impl EngineLoad {
-    /// Bounds the requests in flight below what the upstream and the table allow.
-    pub fn bound(&mut self, bound: BackupLimit) {
-        self.bound = Some(bound);
+    /// Sets the limit for a backup broker, which may be below what the engine and the table allow.
+    pub fn set_backup_limit(&mut self, limit: BackupLimit) {
+        self.backup_limit = Some(limit);
     }
 
-    /// Records that the upstream got work of `rank` with `tokens` of prompt to compute.
-    pub fn begin(&mut self, tokens: u64, rank: Rank, priority: Rank, now: Instant) -> Work {
-        if self.pending() == 0 {
-            self.progress = now;
+    /// Records that work of `rank` with `prefill_tokens` to prefill was sent to the engine.
+    pub fn record_sent(
+        &mut self,
+        prefill_tokens: u64,
+        rank: Rank,
+        priority: Rank,
+        now: Instant,
+    ) -> SentWork {
+        if self.pending_prefills() == 0 {
+            self.progress_at = now;
         }
-        self.loads[rank.index()].inflight += 1;
+        self.loads[rank.index()].in_flight += 1;
         let load = &mut self.loads[priority.index()];
-        load.pending += 1;
-        load.recent += tokens;
-        load.tokens += tokens;
-        Work {
+        load.pending_prefills += 1;
+        load.tokens_since_report += prefill_tokens;
+        load.pending_tokens += prefill_tokens;
+        SentWork {
             epoch: self.epoch,
-            granted: now,
+            granted_at: now,
             priority,
             rank,
-            started: false,
-            tokens,
+            prefilled: false,
+            prefill_tokens,
         }
     }
 
     /// Records that `work` ended.
-    pub fn end(&mut self, work: &mut Work, now: Instant) {
-        self.start(work, now);
+    pub fn record_end(&mut self, work: &mut SentWork, now: Instant) {
+        self.record_first_token(work, now);
         if work.epoch != self.epoch {
             return;
         }
         let load = &mut self.loads[work.rank.index()];
-        load.inflight = load.inflight.saturating_sub(1);
-        let taken = now.since(work.granted);
-        let mean = self.service_ms.unwrap_or(taken);
-        self.service_ms = Some((mean * (SERVICE_SAMPLES - 1) + taken) / SERVICE_SAMPLES);
+        load.in_flight = load.in_flight.saturating_sub(1);
+        let taken = now.since(work.granted_at);
+        let mean = self.mean_service_time_ms.unwrap_or(taken);
+        self.mean_service_time_ms =
+            Some((mean * (SERVICE_TIME_SAMPLES - 1) + taken) / SERVICE_TIME_SAMPLES);
     }
 
-    /// Returns the urgent requests in flight.
-    pub fn urgent(&self) -> u32 {
-        self.loads[Rank::Urgent.index()].inflight
+    /// Returns the number of urgent requests in flight.
+    pub fn urgent_in_flight(&self) -> u32 {
+        self.loads[Rank::Urgent.index()].in_flight
     }
 
-    /// Returns the requests in flight, of both ranks, with those that others sent.
-    pub fn inflight(&self) -> u32 {
-        self.own() + self.foreign
+    /// Returns the number of requests in flight of both ranks, with those of other hosts.
+    pub fn in_flight(&self) -> u32 {
+        self.own_in_flight() + self.other_hosts_in_flight
     }
 
-    /// Sets the bound on requests in flight that the table gives.
-    pub fn limit(&mut self, limit: Option<u32>) {
-        self.limit = limit;
+    /// Sets the limit on requests in flight from the table.
+    pub fn set_table_limit(&mut self, limit: Option<u32>) {
+        self.table_limit = limit;
     }
 
-    /// Takes in a load report.
-    pub fn measure(&mut self, sample: LoadReport, now: Instant) {
-        let measured = Instant(now.0.saturating_sub(sample.age_ms));
-        if measured < self.measured {
+    /// Applies a load report, unless a newer one was applied before.
+    pub fn apply_report(&mut self, report: LoadReport, now: Instant) {
+        let measured_at = Instant(now.0.saturating_sub(report.age_ms));
+        if measured_at < self.measured_at {
             return;
         }
-        self.measured = measured;
+        self.measured_at = measured_at;
         for load in &mut self.loads {
-            load.recent = 0;
+            load.tokens_since_report = 0;
         }
-        let excess = sample.running.saturating_sub(self.own());
-        self.foreign = excess.min(self.excess);
-        self.excess = excess;
-        self.sample = Some(sample);
+        let reported_excess = report.running.saturating_sub(self.own_in_flight());
+        self.other_hosts_in_flight = reported_excess.min(self.reported_excess);
+        self.reported_excess = reported_excess;
+        self.report = Some(report);
     }
 
-    /// Returns whether the upstream takes a further request without queueing it long.
-    pub fn open(&self, class: Class, now: Instant) -> bool {
+    /// Returns whether the engine can take another request of `class` without queueing it for long.
+    pub fn accepts(&self, class: WorkClass, now: Instant) -> bool {
         let slots = self.slots();
         if slots == 0 {
             return false;
         }
-        let light = slots / LIGHT_SLOTS_DIVISOR;
-        let background = self.loads[Rank::Background.index()].inflight;
-        let (usable, window) = match class {
-            Class::Background(turn) if background + turn.reserve.min(slots - 1) >= slots => {
+        let light_slots = slots / LIGHT_SLOTS_DIVISOR;
+        let background = self.loads[Rank::Background.index()].in_flight;
+        let (usable_slots, max_backlog_ms) = match class {
+            WorkClass::Background(terms)
+                if background + terms.reserved_slots.min(slots - 1) >= slots =>
+            {
                 return false;
             }
-            Class::Background(turn) if turn.yields => (slots - light, URGENT_WINDOW_MS),
-            Class::Background(_) => (slots, BACKGROUND_WINDOW_MS),
-            Class::Heavy => (slots - light, URGENT_WINDOW_MS),
-            Class::Light => (slots, LIGHT_WINDOW_MS),
+            WorkClass::Background(terms) if terms.urgent_waits => {
+                (slots - light_slots, MAX_URGENT_BACKLOG_MS)
+            }
+            WorkClass::Background(_) => (slots, MAX_BACKGROUND_BACKLOG_MS),
+            WorkClass::HeavyCaller => (slots - light_slots, MAX_URGENT_BACKLOG_MS),
+            WorkClass::LightCaller => (slots, MAX_LIGHT_BACKLOG_MS),
         };
         let priority = match class {
-            Class::Background(turn) if !turn.owed => Rank::Background,
+            WorkClass::Background(terms) if !terms.below_floor => Rank::Background,
             _ => Rank::Urgent,
         };
         let backlog = self.backlog_us(priority, now);
-        self.inflight() < usable && backlog < window * MICROS_PER_MILLI
+        self.in_flight() < usable_slots && backlog < max_backlog_ms * MICROS_PER_MILLI
     }
 
-    /// Returns the time that computing `tokens` takes, in microseconds.
+    /// Returns the time to prefill `tokens`, in microseconds.
     pub fn prefill_us(&self, tokens: u64) -> u64 {
-        tokens * MILLIS_PER_SECOND * MICROS_PER_MILLI / self.rate()
+        tokens * MILLIS_PER_SECOND * MICROS_PER_MILLI / self.prefill_rate()
     }
 
-    /// Returns the run that the last load report names.
+    /// Returns the incarnation of the engine from the last load report.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.sample.as_ref().map(|sample| sample.incarnation)
+        self.report.as_ref().map(|report| report.incarnation)
     }
 
-    /// Forgets all load, because the upstream came back empty.
+    /// Drops all load, because the engine restarted or died and lost its work.
     pub fn reset(&mut self, now: Instant) {
-        self.loads = [Load::default(); 2];
+        self.loads = [RankLoad::default(); 2];
         self.epoch += 1;
-        self.excess = 0;
-        self.failed = None;
-        self.foreign = 0;
-        self.measured = now;
-        self.progress = now;
-        self.sample = None;
+        self.reported_excess = 0;
+        self.failed_at = None;
+        self.other_hosts_in_flight = 0;
+        self.measured_at = now;
+        self.progress_at = now;
+        self.report = None;
     }
 
-    /// Returns the requests that the upstream runs at once.
+    /// Returns the number of requests that the broker may have in flight on the engine.
     pub fn slots(&self) -> u32 {
-        let reported = self.sample.as_ref().map_or(DEFAULT_SLOTS, |s| s.slots);
-        let limit = self.limit.unwrap_or(u32::MAX);
-        match self.bound {
+        let reported = self.report.as_ref().map_or(DEFAULT_SLOTS, |s| s.slots);
+        let limit = self.table_limit.unwrap_or(u32::MAX);
+        match self.backup_limit {
             None => reported.min(limit),
-            Some(bound) => bound.slots.min(reported).min(bound.part(limit)),
+            Some(backup) => backup.slots.min(reported).min(backup.share_of(limit)),
         }
     }
 
-    /// Records that the first token of `work` arrived.
-    pub fn start(&mut self, work: &mut Work, now: Instant) {
-        if work.started || work.epoch != self.epoch {
-            work.started = true;
+    /// Records that the first token of `work` arrived, which ends its prefill.
+    pub fn record_first_token(&mut self, work: &mut SentWork, now: Instant) {
+        if work.prefilled || work.epoch != self.epoch {
+            work.prefilled = true;
             return;
         }
-        work.started = true;
-        self.progress = now;
+        work.prefilled = true;
+        self.progress_at = now;
         let load = &mut self.loads[work.priority.index()];
-        load.pending = load.pending.saturating_sub(1);
-        load.tokens = load.tokens.saturating_sub(work.tokens);
+        load.pending_prefills = load.pending_prefills.saturating_sub(1);
+        load.pending_tokens = load.pending_tokens.saturating_sub(work.prefill_tokens);
     }
 
-    /// Returns the weights version that the last load report names.
+    /// Returns the weights version from the last load report.
     pub fn version(&self) -> Option<&str> {
-        self.sample.as_ref().map(|sample| sample.version.as_str())
+        self.report.as_ref().map(|report| report.version.as_str())
     }
 
-    /// Records that the upstream failed a request, so that others are preferred for a while.
-    pub fn fail(&mut self, now: Instant) {
-        self.failed = Some(now);
+    /// Records that the engine failed a request, so that others are preferred for a while.
+    pub fn record_failure(&mut self, now: Instant) {
+        self.failed_at = Some(now);
     }
 
-    /// Returns how long a further request of `rank` would wait to be computed, in microseconds.
+    /// Returns how long another request of `rank` would wait for its prefill, in microseconds.
     pub fn wait_us(&self, rank: Rank, now: Instant) -> u64 {
-        let failed = self.failed.is_some_and(|at| now.since(at) < FAILED_MS);
+        let failed = self
+            .failed_at
+            .is_some_and(|at| now.since(at) < FAILURE_PENALTY_MS);
         let penalty = if failed {
-            FAILED_MS * MICROS_PER_MILLI
+            FAILURE_PENALTY_MS * MICROS_PER_MILLI
         } else {
             0
         };
         let backlog = self.backlog_us(rank, now) + penalty;
-        if self.inflight() < self.slots() {
+        if self.in_flight() < self.slots() {
             return backlog;
         }
-        let service = self.service_ms.unwrap_or(DEFAULT_SERVICE_MS) * MICROS_PER_MILLI;
-        backlog + service / u64::from(self.slots().max(1))
+        let service_time_us =
+            self.mean_service_time_ms.unwrap_or(DEFAULT_SERVICE_TIME_MS) * MICROS_PER_MILLI;
+        backlog + service_time_us / u64::from(self.slots().max(1))
     }
 
     fn backlog_us(&self, rank: Rank, now: Instant) -> u64 {
-        let urgent = self.backlog(Rank::Urgent, now);
+        let urgent = self.backlog_tokens(Rank::Urgent, now);
         let tokens = match rank {
-            Rank::Background => urgent + self.backlog(Rank::Background, now),
+            Rank::Background => urgent + self.backlog_tokens(Rank::Background, now),
             Rank::Urgent => urgent,
         };
         self.prefill_us(tokens)
     }
 
-    fn backlog(&self, rank: Rank, now: Instant) -> u64 {
+    fn backlog_tokens(&self, rank: Rank, now: Instant) -> u64 {
         let load = self.loads[rank.index()];
-        let mean = load.tokens / u64::from(load.pending.max(1));
-        let done = self.computed(now.since(self.progress)).min(mean);
-        let own = load.tokens - done;
-        let reported = self.sample.as_ref().map_or(0, |sample| match rank {
-            Rank::Background => sample.queued_background_tokens,
-            Rank::Urgent => sample.queued_urgent_tokens,
+        let mean = load.pending_tokens / u64::from(load.pending_prefills.max(1));
+        let done = self
+            .tokens_prefilled_in(now.since(self.progress_at))
+            .min(mean);
+        let own = load.pending_tokens - done;
+        let reported = self.report.as_ref().map_or(0, |report| match rank {
+            Rank::Background => report.queued_background_tokens,
+            Rank::Urgent => report.queued_urgent_tokens,
         });
-        let left = (reported + load.recent).saturating_sub(self.computed(now.since(self.measured)));
-        own.max(left.min(reported + load.tokens))
+        let left = (reported + load.tokens_since_report)
+            .saturating_sub(self.tokens_prefilled_in(now.since(self.measured_at)));
+        own.max(left.min(reported + load.pending_tokens))
     }
 
-    fn computed(&self, millis: u64) -> u64 {
-        millis.saturating_mul(self.rate()) / MILLIS_PER_SECOND
+    fn tokens_prefilled_in(&self, millis: u64) -> u64 {
+        millis.saturating_mul(self.prefill_rate()) / MILLIS_PER_SECOND
     }
 
-    fn own(&self) -> u32 {
-        self.loads.iter().map(|load| load.inflight).sum()
+    fn own_in_flight(&self) -> u32 {
+        self.loads.iter().map(|load| load.in_flight).sum()
     }
 
-    fn pending(&self) -> u32 {
-        self.loads.iter().map(|load| load.pending).sum()
+    fn pending_prefills(&self) -> u32 {
+        self.loads.iter().map(|load| load.pending_prefills).sum()
     }
 
-    fn rate(&self) -> u64 {
+    fn prefill_rate(&self) -> u64 {
         let rate = self
-            .sample
+            .report
             .as_ref()
-            .map_or(DEFAULT_PREFILL_RATE, |sample| sample.prefill_rate);
+            .map_or(DEFAULT_PREFILL_RATE, |report| report.prefill_rate);
         u64::from(rate.max(1))
     }
 }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,107 +1,112 @@
-//! Placement of a request on the upstream with the least expected time to the first token.
+//! Rates the upstreams for a request, mainly by the expected time to first token.
 
 use state::cache_directory::UpstreamIndex;
 
-/// Gives the trade that a workspace row without one has.
+/// Trade of a workspace whose row sets none; see [`RatedRequest::trade`].
 pub const DEFAULT_TRADE: u64 = 30;
-/// Gives the weight that an upstream row without one has.
+/// Weight of an upstream whose row sets none.
 pub const DEFAULT_WEIGHT: u64 = 100;
 
-const DISTANCE_US: u64 = 1_500;
-const EVEN_PERCENT: u64 = 5;
+/// Extra latency of an upstream in another failure domain, in microseconds.
+const CROSS_DOMAIN_US: u64 = 1_500;
+/// Cost difference up to which upstreams count as equally good, in percent.
+const TIE_PERCENT: u64 = 5;
+/// Time to import one block, in microseconds.
 const IMPORT_BLOCK_US: u64 = 25_000;
-const IMPORT_START_US: u64 = 20_000;
-const TRADE_UNIT: u64 = 50;
+/// Time until an import has started, in microseconds.
+const IMPORT_SETUP_US: u64 = 20_000;
+/// Trade at which the prefill of uncached blocks counts double in the cost.
+const TRADE_SCALE: u64 = 50;
 
-/// Describes an upstream that could serve a request.
+/// An upstream that can serve a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Candidate {
-    /// Tells whether the blocks that it is thought to hold are in doubt.
-    pub doubtful: bool,
-    /// Gives the time that computing one block takes, in microseconds.
+    /// Whether cache events of the upstream were lost, so that it may hold fewer blocks.
+    pub has_gap: bool,
+    /// Time to prefill one block, in microseconds.
     pub block_us: u64,
-    /// Tells whether it lies in another failure domain than the entry.
+    /// Whether it is in another failure domain than the entry host.
     pub remote: bool,
-    /// Gives the leading blocks of the prompt that it holds.
-    pub resident: u32,
-    /// Gives the time that computing the prompt's last, partial block takes, in microseconds.
+    /// Number of leading blocks of the prompt that it is assumed to hold.
+    pub resident_blocks: u32,
+    /// Time to prefill the last, partial block of the prompt, in microseconds.
     pub tail_us: u64,
-    /// Gives the time that the request would wait, in microseconds.
+    /// Time that the request would wait before its prefill, in microseconds.
     pub wait_us: u64,
-    /// Gives the weight of the table.
+    /// Weight of the upstream in the table.
     pub weight: u64,
 }
 
-/// Describes the request that is to be placed.
+/// The properties of a request by which candidates are rated.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Demand {
-    /// Gives the whole blocks of the prompt.
+pub struct RatedRequest {
+    /// Number of full blocks of the prompt.
     pub blocks: u32,
-    /// Gives the most leading blocks that any cache holds, from which they can be imported.
-    pub held: u32,
-    /// Says how far hit rate goes before first-token time, from 0 to 100.
+    /// Largest number of leading blocks that can be imported from one cache.
+    pub importable_blocks: u32,
+    /// Preference for a high cache hit rate over a short time to first token, from 0 to 100.
     pub trade: u64,
 }
 
-/// Rates a candidate.
+/// The rating of a candidate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Rating {
-    /// Gives the cost by which candidates are compared, in microseconds.
+    /// Cost by which candidates are compared, in microseconds.
     pub cost_us: u64,
-    /// Gives the expected time to the first token, in microseconds.
+    /// Expected time to first token, in microseconds.
     pub expected_us: u64,
-    /// Names the candidate.
-    pub slot: UpstreamIndex,
-    /// Gives the blocks that the upstream has to compute.
-    pub uncached: u32,
-    /// Gives the time that bringing in and computing the prompt takes, in microseconds.
+    /// Index of the candidate.
+    pub index: UpstreamIndex,
+    /// Number of blocks that the upstream has to prefill.
+    pub uncached_blocks: u32,
+    /// Time to import and prefill the prompt, in microseconds.
     pub work_us: u64,
 }
 
 /// Rates one candidate for a request.
-pub fn rate(demand: Demand, slot: UpstreamIndex, candidate: &Candidate) -> Rating {
-    let resident = match candidate.doubtful {
-        true => candidate.resident / 2,
-        false => candidate.resident,
+pub fn rate(request: RatedRequest, index: UpstreamIndex, candidate: &Candidate) -> Rating {
+    let resident = match candidate.has_gap {
+        true => candidate.resident_blocks / 2,
+        false => candidate.resident_blocks,
     };
-    let missing = u64::from(demand.blocks.saturating_sub(resident));
-    let held = demand.held.max(resident);
-    let fetched = u64::from(held - resident);
+    let missing = u64::from(request.blocks.saturating_sub(resident));
+    let importable = request.importable_blocks.max(resident);
+    let imported = u64::from(importable - resident);
     let compute_us = missing * candidate.block_us;
-    let import_us = IMPORT_START_US
-        + fetched * IMPORT_BLOCK_US
-        + (missing.saturating_sub(fetched)) * candidate.block_us;
-    let (work_us, uncached) = match fetched > 0 && import_us < compute_us {
-        true => (import_us, missing.saturating_sub(fetched)),
+    let import_us = IMPORT_SETUP_US
+        + imported * IMPORT_BLOCK_US
+        + (missing.saturating_sub(imported)) * candidate.block_us;
+    let (work_us, uncached) = match imported > 0 && import_us < compute_us {
+        true => (import_us, missing.saturating_sub(imported)),
         false => (compute_us, missing),
     };
-    let distance_us = if candidate.remote { DISTANCE_US } else { 0 };
-    let expected_us = candidate.wait_us + work_us + candidate.tail_us + distance_us;
-    let burden_us = work_us * demand.trade / TRADE_UNIT;
+    let cross_domain_us = if candidate.remote { CROSS_DOMAIN_US } else { 0 };
+    let expected_us = candidate.wait_us + work_us + candidate.tail_us + cross_domain_us;
+    let trade_cost_us = work_us * request.trade / TRADE_SCALE;
     let weight = candidate.weight.max(1);
-    let cost_us = (expected_us + burden_us).saturating_mul(DEFAULT_WEIGHT) / weight;
+    let cost_us = (expected_us + trade_cost_us).saturating_mul(DEFAULT_WEIGHT) / weight;
     Rating {
         cost_us,
         expected_us,
-        slot,
-        uncached: uncached as u32,
+        index,
+        uncached_blocks: uncached as u32,
         work_us: work_us + candidate.tail_us,
     }
 }
 
-/// Sorts ratings so that the best comes first.
+/// Sorts the ratings so that the best comes first.
 ///
-/// Of those within a few percent of the cheapest, the one with the least `tie` wins, so that
-/// requests for the same prefix agree on an upstream before any of them has run.
-pub fn sort(ratings: &mut [Rating], tie: impl Fn(UpstreamIndex) -> u64) {
-    ratings.sort_by_key(|rating| (rating.cost_us, rating.slot));
+/// Of those whose cost is within a few percent of the lowest, the one with the lowest `tie_break`
+/// wins, so that requests with the same prefix choose the same upstream before any of them has run.
+pub fn sort(ratings: &mut [Rating], tie_break: impl Fn(UpstreamIndex) -> u64) {
+    ratings.sort_by_key(|rating| (rating.cost_us, rating.index));
     let Some(first) = ratings.first() else {
         return;
     };
-    let bound = first.cost_us + first.cost_us * EVEN_PERCENT / 100;
-    let even = ratings.partition_point(|rating| rating.cost_us <= bound);
-    let best = (0..even)
-        .min_by_key(|at| tie(ratings[*at].slot))
+    let max_tie_cost_us = first.cost_us + first.cost_us * TIE_PERCENT / 100;
+    let ties = ratings.partition_point(|rating| rating.cost_us <= max_tie_cost_us);
+    let best = (0..ties)
+        .min_by_key(|at| tie_break(ratings[*at].index))
         .unwrap_or(0);
     ratings[..=best].rotate_right(1);
 }
