--- a/crates/hibiscushoist/src/voters.rs
+++ b/crates/hibiscushoist/src/voters.rs
@@ -12,7 +12,7 @@
 use crate::table::json;
 use crate::write;
 use protocol::operator::Voters;
-use protocol::voter::Ask;
+use protocol::voter::VoterChange;
 
 const PATH: &str = "/admin/voters";
 const USAGE: &str = "voters [add HOST ADDRESS | remove HOST] [options]";
@@ -39,15 +39,15 @@
     write(out, &text(&voters))
 }
 
-fn ask(words: &[String]) -> Result<Option<Ask>, Report<Error>> {
+fn ask(words: &[String]) -> Result<Option<VoterChange>, Report<Error>> {
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     match words.as_slice() {
         [] => Ok(None),
-        ["add", name, address] => Ok(Some(Ask::Add {
+        ["add", name, address] => Ok(Some(VoterChange::Add {
             address: arguments::server(address)?,
             name: (*name).to_owned(),
         })),
-        ["remove", name] => Ok(Some(Ask::Remove {
+        ["remove", name] => Ok(Some(VoterChange::Remove {
             name: (*name).to_owned(),
         })),
         _ => {
--- a/crates/hibiscushoistd/src/admin.rs
+++ b/crates/hibiscushoistd/src/admin.rs
@@ -17,7 +17,7 @@
 use protocol::operator::Failure;
 use protocol::operator::Kind;
 use protocol::operator::Listing;
-use protocol::voter::Ask;
+use protocol::voter::VoterChange;
 use state::edit::Edit;
 use state::table;
 use transport::event;
@@ -86,7 +86,7 @@
 }
 
 async fn member(context: &Context, request: Request) -> Answer {
-    let ask: Ask = body(request).await?;
+    let ask: VoterChange = body(request).await?;
     match context.voter.member(ask).await {
         Err(error) => Err(refused(context, &error)),
         Ok(()) => Ok(respond::json(200, &context.voter.voters().await.ok())),
--- a/crates/hibiscushoistd/src/follow.rs
+++ b/crates/hibiscushoistd/src/follow.rs
@@ -12,7 +12,7 @@
 use coordination::rotation::Outcome;
 use coordination::rotation::Rotation;
 use coordination::view::View;
-use protocol::voter::Spread;
+use protocol::voter::TableUpdate;
 use state::table::Table;
 use transport::ring;
 
@@ -61,13 +61,13 @@
         let after = table.revision();
         let client = self.pool.client(source, None);
         let spread = client.call(CALL_LIMIT, |peer, context| async move {
-            peer.table(context, after).await
+            peer.table_update(context, after).await
         });
         let Ok(spread) = spread.await else {
             return Outcome::NoAnswer;
         };
         let newer = match spread {
-            Spread::Edits(edits) => {
+            TableUpdate::Edits(edits) => {
                 let mut next = (*table).clone();
                 let applied = edits.iter().try_for_each(|e| next.apply(e).map(drop));
                 match applied {
@@ -75,8 +75,8 @@
                     Ok(()) => Arc::new(next),
                 }
             }
-            Spread::Same => return Outcome::Unchanged,
-            Spread::Whole(table) => table,
+            TableUpdate::UpToDate => return Outcome::Unchanged,
+            TableUpdate::WholeTable(table) => table,
         };
         let revision = newer.revision();
         if self.offers.send(newer).is_ok() {
--- a/crates/hibiscushoistd/src/outlook.rs
+++ b/crates/hibiscushoistd/src/outlook.rs
@@ -181,7 +181,7 @@
         };
         let client = pool.client(target, None);
         let call = client.call(CALL_LIMIT, |peer, call| async move {
-            peer.outlook(call, ask).await
+            peer.routing_update(call, ask).await
         });
         let mut outlook = match call.await {
             Err(error) => {
--- a/crates/hibiscushoistd/src/owner.rs
+++ b/crates/hibiscushoistd/src/owner.rs
@@ -233,7 +233,7 @@
         };
         tokio::spawn(async move {
             let call = client.call(REPORT_LIMIT, |peer, context| async move {
-                peer.hold(context, held).await
+                peer.report_in_flight(context, held).await
             });
             let _ = call.await;
         });
@@ -280,7 +280,7 @@
         };
         tokio::spawn(async move {
             let call = client.call(REPORT_LIMIT, |peer, context| async move {
-                peer.settle(context, report).await
+                peer.report_progress(context, report).await
             });
             let _ = call.await;
         });
--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -40,11 +40,11 @@
 use protocol::operator::History;
 use protocol::operator::Voters;
 use protocol::peer::Peer;
-use protocol::voter::Ask;
-use protocol::voter::Folder;
-use protocol::voter::Packet;
+use protocol::voter::DataFolder;
+use protocol::voter::MessageBatch;
 use protocol::voter::Rejection;
-use protocol::voter::Spread;
+use protocol::voter::TableUpdate;
+use protocol::voter::VoterChange;
 use transport::clock::Clock;
 use transport::event;
 use transport::event::Event;
@@ -88,7 +88,7 @@
 
     async fn ping(self, _: Context) {}
 
-    async fn replicate(self, _: Context, packet: Packet) {
+    async fn replicate(self, _: Context, packet: MessageBatch) {
         self.voter.replicate(packet);
     }
 
@@ -96,15 +96,15 @@
         self.voter.propose_here(command).await
     }
 
-    async fn folder(self, _: Context) -> Option<Folder> {
+    async fn data_folder(self, _: Context) -> Option<DataFolder> {
         self.voter.folder()
     }
 
-    async fn table(self, _: Context, after: u64) -> Spread {
+    async fn table_update(self, _: Context, after: u64) -> TableUpdate {
         self.voter.spread(after).await
     }
 
-    async fn member(self, _: Context, ask: Ask) -> Result<(), Rejection> {
+    async fn change_voters(self, _: Context, ask: VoterChange) -> Result<(), Rejection> {
         self.voter.member_here(ask).await
     }
 
@@ -116,7 +116,7 @@
         self.voter.history_here(after).await.ok()
     }
 
-    async fn suspect(self, _: Context, call: quarantine::Call) -> quarantine::Answer {
+    async fn quarantine(self, _: Context, call: quarantine::Call) -> quarantine::Answer {
         self.suspects.answer(call)
     }
 
@@ -133,15 +133,15 @@
         }
     }
 
-    async fn settle(self, _: Context, report: ProgressReport) {
+    async fn report_progress(self, _: Context, report: ProgressReport) {
         let _ = self.broker.feed(broker::Event::Report(report));
     }
 
-    async fn hold(self, _: Context, held: InFlightRequest) {
+    async fn report_in_flight(self, _: Context, held: InFlightRequest) {
         let _ = self.broker.feed(broker::Event::InFlight(held));
     }
 
-    async fn outlook(
+    async fn routing_update(
         self,
         _: Context,
         ask: routing_update::Request,
@@ -174,7 +174,7 @@
         })
     }
 
-    async fn source(self, _: Context) -> Result<Arc<String>, Rejection> {
+    async fn routing_source(self, _: Context) -> Result<Arc<String>, Rejection> {
         let reading = self.voter.read_here().await?;
         Ok(reading.routed.source.clone())
     }
--- a/crates/hibiscushoistd/src/suspects.rs
+++ b/crates/hibiscushoistd/src/suspects.rs
@@ -182,7 +182,7 @@
         let host = Some(record.host.clone());
         let client = self.pool.as_ref()?.client(record.profile.peer, host);
         let call = client.call(CALL_LIMIT, |peer, context| async move {
-            peer.suspect(context, call).await
+            peer.quarantine(context, call).await
         });
         let answered = tokio::time::timeout(CALL_LIMIT, call).await;
         answered.ok()?.ok()
--- a/crates/hibiscushoistd/src/voter.rs
+++ b/crates/hibiscushoistd/src/voter.rs
@@ -25,11 +25,11 @@
 use coordination::view::View;
 use protocol::operator::History;
 use protocol::operator::Voters;
-use protocol::voter::Ask;
-use protocol::voter::Folder;
-use protocol::voter::Packet;
+use protocol::voter::DataFolder;
+use protocol::voter::MessageBatch;
 use protocol::voter::Rejection;
-use protocol::voter::Spread;
+use protocol::voter::TableUpdate;
+use protocol::voter::VoterChange;
 use state::edit::Edit;
 use state::edit::Receipt;
 use state::ledger;
@@ -176,7 +176,7 @@
     /// # Errors
     ///
     /// Returns why the voters did not take the change, or that the outcome is unknown.
-    pub async fn member(&self, ask: Ask) -> Result<(), Error> {
+    pub async fn member(&self, ask: VoterChange) -> Result<(), Error> {
         self.reach(|target| self.send_member(target, ask.clone()))
             .await
     }
@@ -222,7 +222,7 @@
     /// # Errors
     ///
     /// Returns why it did not.
-    pub async fn member_here(&self, ask: Ask) -> Result<(), Rejection> {
+    pub async fn member_here(&self, ask: VoterChange) -> Result<(), Rejection> {
         let status = self.status().ok_or(Rejection::Ended)?;
         if !status.leads {
             return Err(Rejection::NotLeader(status.leader));
@@ -248,7 +248,7 @@
     }
 
     /// Takes messages of other voters.
-    pub fn replicate(&self, packet: Packet) {
+    pub fn replicate(&self, packet: MessageBatch) {
         if let Some(local) = &self.local
             && local.calls.send(Call::Packet(packet)).is_err()
         {
@@ -257,10 +257,10 @@
     }
 
     /// Returns what this host's voter's data folder is.
-    pub fn folder(&self) -> Option<Folder> {
+    pub fn folder(&self) -> Option<DataFolder> {
         let status = self.status()?;
         let group = Some(status.config.group);
-        Some(Folder {
+        Some(DataFolder {
             group: group.filter(|group| *group != MemberId::default()),
             identity: status.identity,
             name: self.name.clone(),
@@ -268,15 +268,15 @@
     }
 
     /// Returns what a daemon at revision `after` lacks, once there is something or after a while.
-    pub async fn spread(&self, after: u64) -> Spread {
+    pub async fn spread(&self, after: u64) -> TableUpdate {
         let mut table = self.table.clone();
         let newer = table.wait_for(|table| table.revision() > after);
         let newer = tokio::time::timeout(SPREAD_WAIT, newer).await;
         let Ok(Ok(newer)) = newer.map(|newer| newer.map(|table| table.clone())) else {
-            return Spread::Same;
+            return TableUpdate::UpToDate;
         };
         match self.ask(|reply| Call::Spread(after, reply)).await {
-            Err(_) | Ok(Spread::Same) => Spread::Whole(newer),
+            Err(_) | Ok(TableUpdate::UpToDate) => TableUpdate::WholeTable(newer),
             Ok(spread) => spread,
         }
     }
@@ -321,14 +321,14 @@
         }
     }
 
-    async fn changes(&self, status: &Status, ask: Ask) -> Result<Vec<Change>, Rejection> {
+    async fn changes(&self, status: &Status, ask: VoterChange) -> Result<Vec<Change>, Rejection> {
         let members = &status.config.members;
         match ask {
-            Ask::Add { address, name } => {
+            VoterChange::Add { address, name } => {
                 let pool = self.pool.as_ref().ok_or(Rejection::Change)?;
                 let client = pool.client(address, None);
                 let folder = client.call(CALL_LIMIT, |peer, context| async move {
-                    peer.folder(context).await
+                    peer.data_folder(context).await
                 });
                 let folder = folder.await.ok().flatten().ok_or(Rejection::Change)?;
                 let foreign = folder
@@ -346,7 +346,7 @@
                 let add = Change::Add(folder.identity, member);
                 Ok(new.then_some(add).into_iter().collect())
             }
-            Ask::Remove { name } => {
+            VoterChange::Remove { name } => {
                 let named = members.iter().filter(|(_, member)| member.name == name);
                 Ok(named.map(|(id, _)| Change::Remove(*id)).collect())
             }
@@ -426,13 +426,17 @@
         call.await.ok().flatten().ok_or(Rejection::Ended)
     }
 
-    async fn send_member(&self, target: Option<SocketAddr>, ask: Ask) -> Result<(), Rejection> {
+    async fn send_member(
+        &self,
+        target: Option<SocketAddr>,
+        ask: VoterChange,
+    ) -> Result<(), Rejection> {
         let Some((pool, address)) = self.pool.as_ref().zip(target) else {
             return self.member_here(ask).await;
         };
         let client = pool.client(address, None);
         let call = client.call(CALL_LIMIT, |peer, context| async move {
-            peer.member(context, ask).await
+            peer.change_voters(context, ask).await
         });
         call.await.unwrap_or_else(|error| Err(unsent(&error)))
     }
@@ -443,7 +447,7 @@
         };
         let client = pool.client(address, None);
         let call = client.call(CALL_LIMIT, |peer, context| async move {
-            peer.source(context).await
+            peer.routing_source(context).await
         });
         call.await.unwrap_or_else(|error| Err(unsent(&error)))
     }
--- a/crates/hibiscushoistd/src/voter_call.rs
+++ b/crates/hibiscushoistd/src/voter_call.rs
@@ -14,9 +14,9 @@
 use protocol::operator;
 use protocol::operator::History;
 use protocol::operator::Voters;
-use protocol::voter::Packet;
+use protocol::voter::MessageBatch;
 use protocol::voter::Rejection;
-use protocol::voter::Spread;
+use protocol::voter::TableUpdate;
 use state::routing::RoutingState;
 use state::table::Table;
 
@@ -32,13 +32,13 @@
     /// Asks for the edits after a revision.
     History(u64, Reply<History>),
     /// Brings messages of other voters.
-    Packet(Packet),
+    Packet(MessageBatch),
     /// Asks to replicate a command.
     Propose(Command, Reply<Answer>),
     /// Asks for the state as it is now, under everything acknowledged before.
     Read(Reply<Reading>),
     /// Asks for what a daemon at a revision lacks.
-    Spread(u64, Reply<Spread>),
+    Spread(u64, Reply<TableUpdate>),
     /// Wakes the duty after a write.
     Written,
 }
--- a/crates/hibiscushoistd/src/voter_duty.rs
+++ b/crates/hibiscushoistd/src/voter_duty.rs
@@ -31,7 +31,7 @@
 use protocol::operator;
 use protocol::operator::History;
 use protocol::voter::Rejection;
-use protocol::voter::Spread;
+use protocol::voter::TableUpdate;
 use state::table::Table;
 use transport::clock::Clock;
 use transport::event;
@@ -436,13 +436,13 @@
         event::emit(&self.log, event, slog::o!("term" => new.term));
     }
 
-    fn spread(&self, after: u64) -> Spread {
+    fn spread(&self, after: u64) -> TableUpdate {
         let table = self.machine.table();
         let history = self.history(after);
         match table.revision() > after {
-            false => Spread::Same,
-            true if history.cut => Spread::Whole(table.clone()),
-            true => Spread::Edits(history.changes.into_iter().map(|c| c.edit).collect()),
+            false => TableUpdate::UpToDate,
+            true if history.cut => TableUpdate::WholeTable(table.clone()),
+            true => TableUpdate::Edits(history.changes.into_iter().map(|c| c.edit).collect()),
         }
     }
 }
--- a/crates/hibiscushoistd/src/voter_route.rs
+++ b/crates/hibiscushoistd/src/voter_route.rs
@@ -10,7 +10,7 @@
 use crate::pool::Pool;
 use coordination::quorum::MemberId;
 use coordination::raft_message::Envelope;
-use protocol::voter::Packet;
+use protocol::voter::MessageBatch;
 use transport::metric;
 
 const CALL_LIMIT: Duration = Duration::from_millis(1_000);
@@ -81,7 +81,7 @@
             bytes += next.size();
             envelopes.push(next);
         }
-        let packet = Packet {
+        let packet = MessageBatch {
             address: own,
             envelopes,
         };
--- a/crates/hibiscushoistd/src/voter_upkeep.rs
+++ b/crates/hibiscushoistd/src/voter_upkeep.rs
@@ -18,7 +18,7 @@
 use coordination::quorum::MemberId;
 use coordination::view::View;
 use coordination::voters;
-use protocol::voter::Folder;
+use protocol::voter::DataFolder;
 use transport::event;
 use transport::event::Event;
 use transport::ring;
@@ -122,7 +122,7 @@
         None
     }
 
-    fn fitting(&self, status: &Status, folder: &Folder, address: SocketAddr) -> Option<Change> {
+    fn fitting(&self, status: &Status, folder: &DataFolder, address: SocketAddr) -> Option<Change> {
         let members = &status.config.members;
         if folder
             .group
@@ -149,10 +149,10 @@
         lost.map(|(id, _)| Change::Remove(*id))
     }
 
-    async fn folder(&self, address: SocketAddr) -> Option<Folder> {
+    async fn folder(&self, address: SocketAddr) -> Option<DataFolder> {
         let client = self.pool.client(address, None);
         let call = client.call(ASK_LIMIT, |peer, context| async move {
-            peer.folder(context).await
+            peer.data_folder(context).await
         });
         call.await.ok().flatten()
     }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -4,11 +4,11 @@
 
 use crate::operator::History;
 use crate::operator::Voters;
-use crate::voter::Ask;
-use crate::voter::Folder;
-use crate::voter::Packet;
+use crate::voter::DataFolder;
+use crate::voter::MessageBatch;
 use crate::voter::Rejection;
-use crate::voter::Spread;
+use crate::voter::TableUpdate;
+use crate::voter::VoterChange;
 use coordination::admission::Refusal;
 use coordination::assignment;
 use coordination::broker;
@@ -37,32 +37,33 @@
     /// Returns at once, which shows that the connection works both ways.
     async fn ping();
     /// Takes messages of the replicated log.
-    async fn replicate(packet: Packet);
+    async fn replicate(batch: MessageBatch);
     /// Has the voter replicate a command, if it leads.
     async fn propose(command: Command) -> Result<Answer, Rejection>;
     /// Tells what the voter's data folder is, where the host has one that works.
-    async fn folder() -> Option<Folder>;
+    async fn data_folder() -> Option<DataFolder>;
     /// Waits a while for a table after that revision.
-    async fn table(after: u64) -> Spread;
+    async fn table_update(after: u64) -> TableUpdate;
     /// Has the voter change the voters, if it leads.
-    async fn member(ask: Ask) -> Result<(), Rejection>;
+    async fn change_voters(change: VoterChange) -> Result<(), Rejection>;
     /// Shows the voters, where the host has one that works.
     async fn voters() -> Option<Voters>;
     /// Shows the edits after a revision, where the host has a voter that works.
     async fn history(after: u64) -> Option<History>;
     /// Answers for the requests that may crash upstreams.
-    async fn suspect(call: quarantine::Call) -> quarantine::Answer;
+    async fn quarantine(call: quarantine::Call) -> quarantine::Answer;
     /// Asks for a place on an upstream that the host owns, and waits for it.
-    async fn place(ask: broker::PlacementRequest) -> Result<Box<Grant>, Refusal>;
+    async fn place(request: broker::PlacementRequest) -> Result<Box<Grant>, Refusal>;
     /// Tells the owner of an upstream how far a granted request has come.
-    async fn settle(report: ProgressReport);
+    async fn report_progress(report: ProgressReport);
     /// Reports a request again to the new owner of its upstream.
-    async fn hold(held: InFlightRequest);
+    async fn report_in_flight(request: InFlightRequest);
     /// Tells what a host that serves callers lacks; only the voter that leads can.
-    async fn outlook(ask: routing_update::Request) -> Result<RoutingUpdate, Rejection>;
+    async fn routing_update(request: routing_update::Request) -> Result<RoutingUpdate, Rejection>;
     /// Returns the operator's text of the routed table; only the voter that leads can.
-    async fn source() -> Result<Arc<String>, Rejection>;
+    async fn routing_source() -> Result<Arc<String>, Rejection>;
     /// Assigns an engine to a long prompt; only the host whose voter leads can.
-    async fn assign(ask: assignment::Request)
-    -> Result<Result<Choice, choice::Refusal>, Rejection>;
+    async fn assign(
+        request: assignment::Request,
+    ) -> Result<Result<Choice, choice::Refusal>, Rejection>;
 }
--- a/crates/protocol/src/voter.rs
+++ b/crates/protocol/src/voter.rs
@@ -16,7 +16,7 @@
 /// Asks for a change of the voters by the names of hosts.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ask {
+pub enum VoterChange {
     /// Adds the voter of a host, which votes once it has caught up.
     Add {
         /// Holds its address for peers.
@@ -33,7 +33,7 @@
 
 /// Tells what a voter's data folder is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Folder {
+pub struct DataFolder {
     /// Identifies the group that it belongs to, if it does yet.
     pub group: Option<MemberId>,
     /// Identifies it.
@@ -44,7 +44,7 @@
 
 /// Carries messages of the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Packet {
+pub struct MessageBatch {
     /// Holds the sender's address for answers.
     pub address: SocketAddr,
     /// Holds the messages in order.
@@ -77,11 +77,11 @@
 
 /// Brings what a daemon lacks of the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Spread {
+pub enum TableUpdate {
     /// Holds the edits after the asker's revision, in order.
     Edits(Vec<Edit>),
     /// Tells that there is nothing newer.
-    Same,
+    UpToDate,
     /// Holds the whole table.
-    Whole(Arc<Table>),
+    WholeTable(Arc<Table>),
 }
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -35,11 +35,11 @@
 use protocol::operator::History;
 use protocol::operator::Voters;
 use protocol::peer::Peer;
-use protocol::voter::Ask;
-use protocol::voter::Folder;
-use protocol::voter::Packet;
+use protocol::voter::DataFolder;
+use protocol::voter::MessageBatch;
 use protocol::voter::Rejection;
-use protocol::voter::Spread;
+use protocol::voter::TableUpdate;
+use protocol::voter::VoterChange;
 use transport::peer::Client;
 use transport::peer::Error;
 use transport::peer::Options;
@@ -69,21 +69,21 @@
 
     async fn ping(self, _: Context) {}
 
-    async fn replicate(self, _: Context, _: Packet) {}
+    async fn replicate(self, _: Context, _: MessageBatch) {}
 
     async fn propose(self, _: Context, _: Command) -> Result<Answer, Rejection> {
         Err(Rejection::Ended)
     }
 
-    async fn folder(self, _: Context) -> Option<Folder> {
+    async fn data_folder(self, _: Context) -> Option<DataFolder> {
         None
     }
 
-    async fn table(self, _: Context, _: u64) -> Spread {
-        Spread::Same
+    async fn table_update(self, _: Context, _: u64) -> TableUpdate {
+        TableUpdate::UpToDate
     }
 
-    async fn member(self, _: Context, _: Ask) -> Result<(), Rejection> {
+    async fn change_voters(self, _: Context, _: VoterChange) -> Result<(), Rejection> {
         Err(Rejection::Ended)
     }
 
@@ -95,7 +95,7 @@
         None
     }
 
-    async fn suspect(self, _: Context, _: quarantine::Call) -> quarantine::Answer {
+    async fn quarantine(self, _: Context, _: quarantine::Call) -> quarantine::Answer {
         quarantine::Answer::Done
     }
 
@@ -111,11 +111,11 @@
         })
     }
 
-    async fn settle(self, _: Context, _: ProgressReport) {}
+    async fn report_progress(self, _: Context, _: ProgressReport) {}
 
-    async fn hold(self, _: Context, _: InFlightRequest) {}
+    async fn report_in_flight(self, _: Context, _: InFlightRequest) {}
 
-    async fn outlook(
+    async fn routing_update(
         self,
         _: Context,
         _: routing_update::Request,
@@ -123,7 +123,7 @@
         Err(Rejection::Ended)
     }
 
-    async fn source(self, _: Context) -> Result<Arc<String>, Rejection> {
+    async fn routing_source(self, _: Context) -> Result<Arc<String>, Rejection> {
         Err(Rejection::Ended)
     }
 
