--- a/crates/coordination/src/drain.rs
+++ b/crates/coordination/src/drain.rs
@@ -1,28 +1,30 @@
-//! How a host ends without cutting a request.
+//! Graceful shutdown of a host, without cutting off a request.
 //!
-//! It first wants no new work and leaves the list of addresses, but serves on for as long as
-//! callers may hold an address. Then it closes its listener, lets the last request end, tells the
-//! fleet and ends. A second signal or the limit ends it at once.
+//! A draining host first announces that it accepts no new work and is removed from the lists of
+//! addresses, but keeps serving for as long as callers may still use its address. Then it closes
+//! its listener, waits for the last request, announces that it leaves the fleet, and ends its
+//! process. A second signal or the drain limit ends it at once.
 
 use state::time::Instant;
 
-/// Sets the times of a drain, in milliseconds.
+/// The time limits of a drain.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Tells how long callers may hold an address.
+    /// Time for which callers may use an address that they were given, in milliseconds.
     pub address_lifetime_ms: u64,
-    /// Bounds the time after that lifetime until the last request must have ended.
+    /// Time from the close of the listener until the last request must have ended, in milliseconds.
     pub drain_limit_ms: u64,
-    /// Bounds the time until every host knows of the drain and names this one no more.
+    /// Time until every host knows of the drain and no longer lists this one, in milliseconds.
     pub propagation_ms: u64,
 }
 
 impl Limits {
-    /// Returns whether a request is taken that may last so long, `since` the drain began, both in
-    /// milliseconds.
+    /// Returns whether to accept a request that may take `duration_ms`, when the drain began
+    /// `elapsed_ms` ago.
     ///
-    /// All are while some hosts may still name this one. After that only callers with an old
-    /// address come, and one whose answer may be cut when this host ends is sent to another.
+    /// Every request is accepted while some hosts may still list this one. After that, requests
+    /// come only from callers with an old address, and one that may be cut off at the end of the
+    /// drain belongs on another host.
     pub fn accepts(&self, elapsed_ms: u64, duration_ms: u64) -> bool {
         elapsed_ms <= self.propagation_ms
             || elapsed_ms + duration_ms
@@ -30,49 +32,53 @@
     }
 }
 
-/// Tells a drain what happened.
+/// An input of a drain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// Tells that the process was asked to end.
+    /// The process got a signal to shut down.
     Signal,
-    /// Lets time pass and tells how many requests and orders are in flight.
+    /// Time has passed.
     Tick {
-        /// Counts the requests and orders.
+        /// Number of requests and orders in flight.
         in_flight: u64,
     },
 }
 
-/// Tells how a drain ended.
+/// How a drain ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Means that every request ended.
+    /// Every request ended.
     Clean,
-    /// Means that a second signal cut the rest.
+    /// A second signal cut off the remaining requests.
     Forced,
-    /// Means that the limit cut the rest.
+    /// The drain limit cut off the remaining requests.
     LimitPassed,
 }
 
-/// Tells what to do.
+/// An action that a drain requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Has the fleet told that this host wants no new work, and ownership handed over.
+    /// Announce to the fleet that this host accepts no new work, and hand over its upstreams.
     Announce,
-    /// Has the listener closed.
+    /// Close the listener.
     Close,
-    /// Has the fleet told that this host is gone, and the process ended.
+    /// Announce to the fleet that this host leaves, and end the process.
     End(Outcome),
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Phase {
+    /// The listener is closed; requests may finish until `until`.
     Closing { until: Instant },
+    /// The process is about to end.
     Ended,
+    /// Callers may still use the address of this host, until `until`.
     Listed { until: Instant },
+    /// The drain has not begun.
     Serving,
 }
 
-/// Steps through the end of a host.
+/// The phases of the shutdown of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     limits: Limits,
@@ -80,7 +86,7 @@
 }
 
 impl Drain {
-    /// Returns the drain of a host that still serves.
+    /// Returns a drain that has not begun: the host serves.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -88,7 +94,7 @@
         }
     }
 
-    /// Takes `event` at `now` and returns what to do.
+    /// Processes `event` at `now` and returns the resulting effect, if any.
     pub fn step(&mut self, now: Instant, event: Event) -> Option<Effect> {
         match (self.phase, event) {
             (Phase::Serving, Event::Signal) => {
--- a/crates/coordination/src/liveness.rs
+++ b/crates/coordination/src/liveness.rs
@@ -1,8 +1,9 @@
-//! What an upstream is held to be, from four sources that disagree.
+//! Tracks the standing of an upstream from four sources that may disagree: its answers, failed
+//! calls, the platform's list and reports of other hosts.
 //!
-//! The platform's list lags, so it may take work away but never gives it back: only the upstream's
-//! own answer ends a failure. Leaving holds until another process answers in the upstream's place
-//! or a later list says that it stays.
+//! The platform's list lags, so it can stop new work for an upstream but never ends a failure: only
+//! an answer of the upstream does. An upstream stays leaving until a new process answers in its
+//! place, or until a later list says that it stays, if the list was the source.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,115 +12,120 @@
 
 use state::ident::Incarnation;
 
-/// Names what an upstream is held to be.
+/// The state of an upstream, which decides whether it gets new work.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Display, EnumIter, Eq, Hash, PartialEq, Serialize,
 )]
 #[strum(serialize_all = "snake_case")]
 pub enum Standing {
-    /// Means that it failed; it gets no new work.
+    /// Calls failed repeatedly, or the first one did; the upstream gets no new work.
     Down,
-    /// Means that it is about to end; it gets no new work.
+    /// The upstream is about to shut down; it gets no new work.
     Leaving,
-    /// Means that it gets work.
+    /// The upstream answers and gets new work.
     Serving,
-    /// Means that a request or a heartbeat failed; it gets no new work until it answers.
+    /// A request or a heartbeat failed; the upstream gets no new work until it answers.
     Suspect,
-    /// Means that nothing was heard of it yet; it gets no work.
+    /// No call was answered or failed yet; the upstream gets no work.
     #[default]
     Unknown,
 }
 
-/// Names what the platform's list says of an upstream.
+/// The state of an upstream in the platform's list.
 #[derive(Clone, Copy, Debug, Deserialize, Display, EnumIter, Eq, Hash, PartialEq, Serialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Listed {
-    /// Means that the list no longer names it.
+    /// The list no longer contains the upstream.
     Gone,
-    /// Means that it is about to end.
+    /// The upstream is about to shut down.
     Leaving,
-    /// Means that it runs.
+    /// The upstream runs.
     Live,
 }
 
-/// Tells what one of the sources says.
+/// An input of the tracker, from one of the sources.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Signal {
-    /// Tells that a heartbeat or a request was answered.
+    /// A heartbeat or a request was answered.
     Answered {
-        /// Identifies the run of the upstream's process.
+        /// Identifies the upstream's process.
         incarnation: Incarnation,
-        /// Tells whether the upstream says that it is about to end.
+        /// Whether the upstream reports that it is about to shut down.
         leaving: bool,
     },
-    /// Tells that a request or a heartbeat could not be sent or broke off.
+    /// A request or a heartbeat could not be sent, or its answer broke off.
     Failed,
-    /// Tells what the platform's list says, in its edition `edition`.
+    /// The platform's list was read.
     Listed {
-        /// Numbers the list; later ones have greater numbers.
+        /// Number of this edition of the list; later ones have greater numbers.
         edition: u64,
-        /// Holds what it says.
+        /// State of the upstream in the list.
         listed: Listed,
     },
-    /// Tells that another host saw that this run of the upstream is about to end.
+    /// Another host reported that this process of the upstream is about to shut down.
     PeerReportedLeaving {
-        /// Identifies the run of the upstream's process.
+        /// Identifies the upstream's process.
         incarnation: Incarnation,
     },
 }
 
-/// Tells what changed.
+/// A change that the tracker reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// Tells that another process answers, whose cache is empty.
+    /// Another process runs in the place of the earlier one, and its cache is empty.
     CacheLost(Incarnation),
-    /// Tells that the standing changed.
+    /// The standing changed.
     StandingChanged {
-        /// Holds the earlier standing.
+        /// Previous standing.
         from: Standing,
-        /// Holds the present standing.
+        /// Current standing.
         to: Standing,
     },
 }
 
 const FAILURES_UNTIL_DOWN: u32 = 2;
 
+/// The result of the last calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum Health {
-    Answers,
-    Fails(u32),
+    Answering,
+    /// The number of successive failed calls.
+    Failing(u32),
     #[default]
-    Unheard,
+    Unknown,
 }
 
+/// The source that says that an upstream is about to shut down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Cause {
+enum LeavingSource {
+    /// The platform's list; a later list may take it back.
     Listed,
-    Told,
+    /// The upstream itself, directly or through another host; holds until a new process answers.
+    Reported,
 }
 
-/// Follows one upstream.
+/// Tracks the standing of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tracker {
     edition: u64,
     health: Health,
     incarnation: Option<Incarnation>,
-    leaving: Option<Cause>,
+    leaving: Option<LeavingSource>,
 }
 
 impl Tracker {
-    /// Returns what the upstream is held to be.
+    /// Returns the standing of the upstream.
     pub fn standing(&self) -> Standing {
         match (self.health, self.leaving) {
-            (Health::Fails(failures), _) if failures >= FAILURES_UNTIL_DOWN => Standing::Down,
+            (Health::Failing(count), _) if count >= FAILURES_UNTIL_DOWN => Standing::Down,
             (_, Some(_)) => Standing::Leaving,
-            (Health::Answers, None) => Standing::Serving,
-            (Health::Fails(_), None) => Standing::Suspect,
-            (Health::Unheard, None) => Standing::Unknown,
+            (Health::Answering, None) => Standing::Serving,
+            (Health::Failing(_), None) => Standing::Suspect,
+            (Health::Unknown, None) => Standing::Unknown,
         }
     }
 
-    /// Returns the run of the upstream's process that answered last.
+    /// Returns the upstream's newest known process.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
@@ -129,10 +135,10 @@
         self.standing() == Standing::Serving
     }
 
-    /// Takes one signal and returns what changed.
+    /// Processes one signal and returns the resulting changes.
     pub fn step(&mut self, signal: Signal) -> Vec<Change> {
         let from = self.standing();
-        let before = self.incarnation;
+        let previous = self.incarnation;
         match signal {
             Signal::Answered {
                 incarnation,
@@ -143,14 +149,14 @@
             Signal::PeerReportedLeaving { incarnation } => self.peer_reported_leaving(incarnation),
         }
         let to = self.standing();
-        let emptied = self
+        let new_incarnation = self
             .incarnation
-            .filter(|now| before.is_some_and(|b| b != *now));
-        let moved = (from != to).then_some(Change::StandingChanged { from, to });
-        emptied
+            .filter(|now| previous.is_some_and(|b| b != *now));
+        let standing_change = (from != to).then_some(Change::StandingChanged { from, to });
+        new_incarnation
             .map(Change::CacheLost)
             .into_iter()
-            .chain(moved)
+            .chain(standing_change)
             .collect()
     }
 
@@ -161,17 +167,17 @@
             _ => {}
         }
         self.incarnation = Some(incarnation);
-        self.health = Health::Answers;
+        self.health = Health::Answering;
         if leaving {
-            self.leaving = Some(Cause::Told);
+            self.leaving = Some(LeavingSource::Reported);
         }
     }
 
     fn failed(&mut self) {
         self.health = match self.health {
-            Health::Answers => Health::Fails(1),
-            Health::Fails(failures) => Health::Fails(failures.saturating_add(1)),
-            Health::Unheard => Health::Fails(FAILURES_UNTIL_DOWN),
+            Health::Answering => Health::Failing(1),
+            Health::Failing(count) => Health::Failing(count.saturating_add(1)),
+            Health::Unknown => Health::Failing(FAILURES_UNTIL_DOWN),
         };
     }
 
@@ -179,12 +185,12 @@
         if edition <= self.edition {
             return;
         }
-        let unheard = self.health == Health::Unheard;
+        let is_unknown = self.health == Health::Unknown;
         match (listed, self.leaving) {
-            (Listed::Live, Some(Cause::Listed)) => self.leaving = None,
+            (Listed::Live, Some(LeavingSource::Listed)) => self.leaving = None,
             (Listed::Live, _) => {}
-            (Listed::Gone, _) if unheard => return,
-            (Listed::Gone | Listed::Leaving, None) => self.leaving = Some(Cause::Listed),
+            (Listed::Gone, _) if is_unknown => return,
+            (Listed::Gone | Listed::Leaving, None) => self.leaving = Some(LeavingSource::Listed),
             (Listed::Gone | Listed::Leaving, Some(_)) => {}
         }
         self.edition = edition;
@@ -193,7 +199,7 @@
     fn peer_reported_leaving(&mut self, incarnation: Incarnation) {
         if self.incarnation.is_none_or(|known| incarnation >= known) {
             self.incarnation = Some(incarnation);
-            self.leaving = Some(Cause::Told);
+            self.leaving = Some(LeavingSource::Reported);
         }
     }
 }
--- a/crates/coordination/tests/addresses.rs
+++ b/crates/coordination/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Tests of the addresses that callers are told and of the owners of shards.
+//! Tests of the addresses that callers get, and of the owners of shards.
 
 mod common;
 
@@ -26,11 +26,11 @@
 const DOMAINS: usize = 3;
 
 fn view(hosts: usize) -> View {
-    let member = |place| Member {
+    let member = |index| Member {
         reachable: true,
         record: Record {
-            host: name(place),
-            profile: profile(place, DOMAINS),
+            host: name(index),
+            profile: profile(index, DOMAINS),
             standing: Standing::Alive,
             version: Version::default(),
         },
@@ -42,15 +42,15 @@
     }
 }
 
-fn entry(place: usize) -> SocketAddr {
-    profile(place, DOMAINS).entry.unwrap()
+fn entry(index: usize) -> SocketAddr {
+    profile(index, DOMAINS).entry.unwrap()
 }
 
-fn place(address: SocketAddr, hosts: usize) -> usize {
+fn host_index(address: SocketAddr, hosts: usize) -> usize {
     (0..hosts).find(|p| entry(*p) == address).unwrap()
 }
 
-fn ask(workspace: usize, random: u64) -> Request {
+fn request(workspace: usize, random: u64) -> Request {
     Request {
         random,
         prefix: None,
@@ -59,26 +59,27 @@
 }
 
 #[test]
-fn dead_left_and_draining_hosts_are_absent() {
+fn dead_left_and_draining_hosts_are_not_listed() {
     let mut view = view(8);
     view.hosts[1].record.standing = Standing::Dead;
     view.hosts[2].record.standing = Standing::Left;
     view.hosts[3].record.profile.draining = true;
     for workspace in 0..100 {
-        let told = addresses::select(&view, &ask(workspace, workspace as u64));
+        let addresses = addresses::select(&view, &request(workspace, workspace as u64));
         for absent in [1, 2, 3] {
-            assert!(!told.contains(&entry(absent)), "workspace {workspace}");
+            assert!(!addresses.contains(&entry(absent)), "workspace {workspace}");
         }
     }
 }
 
+// Without this, callers would get no address at all.
 #[test]
-fn a_fleet_that_only_drains_still_names_its_hosts() {
+fn a_fleet_in_which_all_hosts_drain_still_lists_them() {
     let mut view = view(2);
     for member in &mut view.hosts {
         member.record.profile.draining = true;
     }
-    assert_eq!(addresses::select(&view, &ask(0, 0)).len(), 2);
+    assert_eq!(addresses::select(&view, &request(0, 0)).len(), 2);
 }
 
 #[test]
@@ -86,25 +87,33 @@
     for hosts in [3, 8, 390] {
         let view = view(hosts);
         for (workspace, lost) in (0..100).flat_map(|w| (0..DOMAINS).map(move |d| (w, d))) {
-            let told = addresses::select(&view, &ask(workspace, workspace as u64));
-            let left = told.iter().filter(|a| place(**a, hosts) % DOMAINS != lost);
-            assert!(left.count() >= 2, "{hosts} hosts, workspace {workspace}");
-            let first_three = told.iter().take(3).map(|a| place(*a, hosts) % DOMAINS);
+            let addresses = addresses::select(&view, &request(workspace, workspace as u64));
+            let remaining = addresses
+                .iter()
+                .filter(|a| host_index(**a, hosts) % DOMAINS != lost);
+            assert!(
+                remaining.count() >= 2,
+                "{hosts} hosts, workspace {workspace}"
+            );
+            let first_three = addresses
+                .iter()
+                .take(3)
+                .map(|a| host_index(*a, hosts) % DOMAINS);
             assert_eq!(first_three.collect::<BTreeSet<_>>().len(), DOMAINS);
         }
     }
 }
 
 #[test]
-fn loaded_and_suspected_hosts_are_never_first_while_others_are_free() {
+fn busy_and_suspected_hosts_are_never_first_while_others_have_capacity() {
     let mut view = view(8);
     view.hosts[1].record.profile.load = Load::Busy;
     view.hosts[2].record.profile.load = Load::Overloaded;
     view.hosts[3].record.standing = Standing::Suspect;
     for (workspace, random) in (0..100).flat_map(|w| (0..8).map(move |d| (w, d))) {
-        let first = addresses::select(&view, &ask(workspace, random))[0];
+        let first = addresses::select(&view, &request(workspace, random))[0];
         assert!(
-            ![1, 2, 3].contains(&place(first, 8)),
+            ![1, 2, 3].contains(&host_index(first, 8)),
             "workspace {workspace}"
         );
     }
@@ -113,30 +122,31 @@
 #[test]
 fn callers_of_one_prefix_get_the_same_first_host() {
     let view = view(8);
-    let mut firsts = BTreeSet::new();
+    let mut first_hosts = BTreeSet::new();
     for prefix in 0..50 {
-        let told = |random| {
+        let first_host = |random| {
             let prefix = Some(format!("dossier-{prefix}"));
-            let ask = Request {
+            let request = Request {
                 prefix,
-                ..ask(1, random)
+                ..request(1, random)
             };
-            addresses::select(&view, &ask)[0]
+            addresses::select(&view, &request)[0]
         };
-        assert_eq!(told(1), told(2));
-        firsts.insert(told(1));
+        assert_eq!(first_host(1), first_host(2));
+        first_hosts.insert(first_host(1));
     }
-    assert!(firsts.len() > 1);
+    assert!(first_hosts.len() > 1);
 }
 
 #[test]
-fn a_workspace_stays_on_few_hosts_while_they_have_room() {
+fn a_workspace_stays_on_four_hosts_while_they_have_capacity() {
     let view = view(390);
-    let firsts = (0..200).map(|random| addresses::select(&view, &ask(7, random))[0]);
-    assert_eq!(firsts.collect::<BTreeSet<_>>().len(), 4);
+    let first_hosts = (0..200).map(|random| addresses::select(&view, &request(7, random))[0]);
+    assert_eq!(first_hosts.collect::<BTreeSet<_>>().len(), 4);
 }
 
-/// Lets callers ask and load the hosts; returns the greatest load of a host over the mean.
+/// Simulates callers that request addresses and load the first host of the answer, `shares` per
+/// workspace; returns the greatest ratio of the load of one host to the mean.
 fn imbalance(seed: u64, shares: &[u64]) -> f64 {
     const HOSTS: usize = 8;
     const ROUNDS: usize = 60;
@@ -144,8 +154,8 @@
     let mut view = view(HOSTS);
     let total: u64 = shares.iter().sum();
     let mut loads = [0; HOSTS];
-    let mut kept: BTreeMap<usize, usize> = BTreeMap::new();
-    let mut worst: f64 = 0.0;
+    let mut host_of_connection: BTreeMap<usize, usize> = BTreeMap::new();
+    let mut max_ratio: f64 = 0.0;
     for round in 0..ROUNDS {
         for connection in 0..total as usize {
             if round % 10 == connection % 10 {
@@ -155,12 +165,12 @@
                     rest = rest.saturating_sub(*share);
                     within
                 });
-                let ask = ask(workspace.unwrap(), rng.random());
-                let told = place(addresses::select(&view, &ask)[0], HOSTS);
-                if let Some(before) = kept.insert(connection, told) {
-                    loads[before] -= 1;
+                let request = request(workspace.unwrap(), rng.random());
+                let assigned = host_index(addresses::select(&view, &request)[0], HOSTS);
+                if let Some(previous) = host_of_connection.insert(connection, assigned) {
+                    loads[previous] -= 1;
                 }
-                loads[told] += 1;
+                loads[assigned] += 1;
             }
         }
         let mean = total as f64 / HOSTS as f64;
@@ -171,18 +181,18 @@
         }
         if round >= ROUNDS / 2 {
             let most = loads.iter().max().copied().unwrap_or_default();
-            worst = worst.max(f64::from(most) / mean);
+            max_ratio = max_ratio.max(f64::from(most) / mean);
         }
     }
-    worst
+    max_ratio
 }
 
 #[test]
-fn load_evens_out_when_a_few_workspaces_ask_for_most() {
+fn load_stays_even_when_a_few_workspaces_have_most_callers() {
     for seed in 0..10 {
         let even = imbalance(seed, &[100; 8]);
         let skewed = imbalance(seed, &[400, 300, 40, 20, 10, 10, 10, 10]);
-        println!("seed {seed}: greatest over mean {even:.2} even, {skewed:.2} skewed");
+        println!("seed {seed}: greatest load over mean {even:.2} even, {skewed:.2} skewed");
         assert!(even < 1.5, "seed {seed}: {even}");
         assert!(skewed < 1.5, "seed {seed}: {skewed}");
     }
@@ -207,7 +217,7 @@
 }
 
 #[test]
-fn a_suspected_broker_keeps_its_shards_and_a_draining_one_hands_over() {
+fn a_suspected_broker_keeps_its_shards_and_a_draining_one_hands_them_over() {
     let mut view = view(3);
     let owned = |view: &View| {
         let mine = |s: &u16| shard::owner(view, Shard(*s)).unwrap().record.host == name(1);
@@ -223,7 +233,7 @@
 }
 
 #[test]
-fn a_steady_load_never_makes_its_class_change_back_and_forth() {
+fn a_steady_measurement_never_makes_the_load_alternate() {
     for percent in 0..=120 {
         for start in [Load::Busy, Load::Normal, Load::Overloaded] {
             let once = start.next(percent);
--- a/crates/coordination/tests/drain.rs
+++ b/crates/coordination/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Tests of the end of a host.
+//! Tests of the graceful shutdown of a host.
 
 use coordination::drain::Drain;
 use coordination::drain::Effect;
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn a_host_that_was_not_asked_to_end_serves_on() {
+fn a_host_without_a_signal_keeps_serving() {
     assert_eq!(effects(&[(0, tick(0)), (100_000, tick(5))]), []);
 }
 
 #[test]
-fn the_listener_stays_open_until_no_caller_holds_the_address() {
+fn the_listener_stays_open_until_no_caller_may_use_the_address() {
     let steps = [
         (0, Event::Signal),
         (1, tick(0)),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_limit_ends_a_drain_that_does_not_finish() {
+fn the_drain_limit_ends_a_drain_whose_requests_do_not_end() {
     let steps = [
         (0, Event::Signal),
         (CLOSE_MS, tick(1)),
@@ -74,28 +74,31 @@
 }
 
 #[test]
-fn an_answer_that_may_be_cut_is_not_begun_once_no_host_names_this_one() {
-    let rest = CLOSE_MS + DRAIN_LIMIT_MS - PROPAGATION_MS;
-    assert!(LIMITS.accepts(0, rest * 2), "others still name this host");
-    assert!(LIMITS.accepts(PROPAGATION_MS, rest * 2));
-    assert!(LIMITS.accepts(PROPAGATION_MS + 1, rest - 1));
-    assert!(!LIMITS.accepts(PROPAGATION_MS + 1, rest));
+fn a_request_that_may_be_cut_off_is_refused_once_no_host_lists_this_one() {
+    let remaining_ms = CLOSE_MS + DRAIN_LIMIT_MS - PROPAGATION_MS;
+    assert!(
+        LIMITS.accepts(0, remaining_ms * 2),
+        "others still list this host"
+    );
+    assert!(LIMITS.accepts(PROPAGATION_MS, remaining_ms * 2));
+    assert!(LIMITS.accepts(PROPAGATION_MS + 1, remaining_ms - 1));
+    assert!(!LIMITS.accepts(PROPAGATION_MS + 1, remaining_ms));
     assert!(LIMITS.accepts(CLOSE_MS, DRAIN_LIMIT_MS));
     assert!(!LIMITS.accepts(CLOSE_MS, DRAIN_LIMIT_MS + 1));
 }
 
 #[test]
-fn a_second_signal_ends_at_once() {
-    let early = [(0, Event::Signal), (5, Event::Signal)];
-    let late = [
+fn a_second_signal_ends_the_drain_at_once() {
+    let while_listed = [(0, Event::Signal), (5, Event::Signal)];
+    let while_closing = [
         (0, Event::Signal),
         (CLOSE_MS, tick(1)),
         (CLOSE_MS + 5, Event::Signal),
     ];
     let forced = Effect::End(Outcome::Forced);
-    assert_eq!(effects(&early), [(0, Effect::Announce), (5, forced)]);
+    assert_eq!(effects(&while_listed), [(0, Effect::Announce), (5, forced)]);
     assert_eq!(
-        effects(&late),
+        effects(&while_closing),
         [
             (0, Effect::Announce),
             (CLOSE_MS, Effect::Close),
--- a/crates/coordination/tests/liveness.rs
+++ b/crates/coordination/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Tests of what an upstream is held to be, as a table of signals.
+//! Tests of the standing of an upstream after a sequence of signals.
 
 use coordination::liveness::Change;
 use coordination::liveness::Listed;
@@ -16,7 +16,7 @@
     }
 }
 
-fn says_leaving(incarnation: u64) -> Signal {
+fn answered_leaving(incarnation: u64) -> Signal {
     Signal::Answered {
         incarnation: Incarnation(incarnation),
         leaving: true,
@@ -27,21 +27,21 @@
     Signal::Listed { edition, listed }
 }
 
-fn noticed(incarnation: u64) -> Signal {
+fn peer_reported_leaving(incarnation: u64) -> Signal {
     Signal::PeerReportedLeaving {
         incarnation: Incarnation(incarnation),
     }
 }
 
 #[test]
-fn signals_lead_to_standings() {
+fn each_sequence_of_signals_leads_to_its_standing() {
     use Listed::Gone;
     use Listed::Leaving;
     use Listed::Live;
     let cases: Vec<(&str, Vec<Signal>, Standing)> = vec![
-        ("nothing heard", vec![], Standing::Unknown),
+        ("no signal", vec![], Standing::Unknown),
         (
-            "listed, not heard",
+            "listed, not yet called",
             vec![listed(1, Live)],
             Standing::Unknown,
         ),
@@ -51,7 +51,7 @@
             Standing::Serving,
         ),
         ("answers", vec![answered(1)], Standing::Serving),
-        ("never answered", vec![FAILED], Standing::Down),
+        ("the first call failed", vec![FAILED], Standing::Down),
         ("one failure", vec![answered(1), FAILED], Standing::Suspect),
         (
             "two failures",
@@ -84,38 +84,38 @@
             Standing::Leaving,
         ),
         (
-            "an older list does not take back leaving",
+            "an older list does not revoke leaving",
             vec![answered(1), listed(5, Leaving), listed(4, Live)],
             Standing::Leaving,
         ),
         (
-            "an answer does not take back leaving",
+            "an answer does not revoke leaving",
             vec![answered(1), listed(5, Leaving), answered(1)],
             Standing::Leaving,
         ),
         (
-            "a later list takes back what a list said",
+            "a later list revokes what a list said",
             vec![answered(1), listed(5, Leaving), listed(6, Live)],
             Standing::Serving,
         ),
         (
-            "the list does not take back what the upstream said",
-            vec![says_leaving(1), listed(9, Live)],
+            "the list does not revoke what the upstream said",
+            vec![answered_leaving(1), listed(9, Live)],
             Standing::Leaving,
         ),
         (
-            "another host noticed",
-            vec![answered(1), noticed(1)],
+            "another host reported that it leaves",
+            vec![answered(1), peer_reported_leaving(1)],
             Standing::Leaving,
         ),
         (
-            "a notice about an earlier run",
-            vec![answered(2), noticed(1)],
+            "a peer report about an earlier process",
+            vec![answered(2), peer_reported_leaving(1)],
             Standing::Serving,
         ),
         (
             "a new process after leaving",
-            vec![says_leaving(1), answered(2)],
+            vec![answered_leaving(1), answered(2)],
             Standing::Serving,
         ),
         (
@@ -150,7 +150,7 @@
         ),
         (
             "fails while leaving",
-            vec![says_leaving(1), FAILED, FAILED],
+            vec![answered_leaving(1), FAILED, FAILED],
             Standing::Down,
         ),
     ];
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn another_process_is_told_to_be_empty() {
+fn an_answer_of_a_new_process_reports_a_lost_cache() {
     let mut tracker = Tracker::default();
     tracker.step(answered(1));
     assert_eq!(
@@ -182,13 +182,13 @@
 }
 
 #[test]
-fn a_notice_of_a_later_run_tells_that_the_upstream_is_empty() {
+fn a_peer_report_about_a_later_process_reports_a_lost_cache() {
     let mut tracker = Tracker::default();
     tracker.step(answered(1));
-    let moved = Change::StandingChanged {
+    let standing_change = Change::StandingChanged {
         from: Standing::Serving,
         to: Standing::Leaving,
     };
-    let expected = [Change::CacheLost(Incarnation(2)), moved];
-    assert_eq!(tracker.step(noticed(2)), expected);
+    let expected = [Change::CacheLost(Incarnation(2)), standing_change];
+    assert_eq!(tracker.step(peer_reported_leaving(2)), expected);
 }
