--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -32,7 +32,7 @@
 use protocol::engine;
 use protocol::engine::Action;
 use protocol::engine::Code;
-use protocol::weights;
+use protocol::weight_store;
 use state::ident::BlockHash;
 use state::ident::Digest;
 use state::ident::Incarnation;
@@ -150,7 +150,7 @@
     pub(crate) last: Option<engine::Request>,
     pub(crate) queued: Queued,
     pub(crate) running: HashMap<String, watch::Sender<bool>>,
-    pub(crate) standing: engine::Standing,
+    pub(crate) standing: engine::State,
     reports: VecDeque<Report>,
 }
 
@@ -254,7 +254,7 @@
     }
 
     /// Returns what the engine serves.
-    pub fn standing(&self) -> engine::Standing {
+    pub fn standing(&self) -> engine::State {
         self.shared.lock().standing.clone()
     }
 
@@ -280,12 +280,12 @@
 
 impl Shared {
     fn new(options: Options) -> Self {
-        let standing = engine::Standing {
+        let standing = engine::State {
             incarnation: Incarnation(1),
             model: options.model.clone(),
             role: "mixed".to_owned(),
             version: options.version.clone(),
-            ..engine::Standing::default()
+            ..engine::State::default()
         };
         let inner = Inner {
             cache: Cache::new(options.blocks, options.events_retained),
@@ -348,9 +348,9 @@
         let inner = self.lock();
         let incarnation = inner.standing.incarnation.0.into();
         let headers = response.headers_mut();
-        headers.insert(engine::INCARNATION, incarnation);
+        headers.insert(engine::INCARNATION_HEADER, incarnation);
         if let Ok(version) = inner.standing.version.parse() {
-            headers.insert(engine::WEIGHTS_VERSION, version);
+            headers.insert(engine::WEIGHTS_VERSION_HEADER, version);
         }
         response
     }
@@ -438,7 +438,7 @@
     async fn order(
         self: Arc<Self>,
         order: engine::Order,
-    ) -> Result<engine::Standing, engine::Refusal> {
+    ) -> Result<engine::State, engine::Refusal> {
         let incarnation = self.accept(&order)?;
         if let Action::Load {
             adapter,
@@ -470,7 +470,7 @@
             tokio::time::sleep(self.options.load_time).await;
             return Ok(());
         };
-        let path = format!("{}{model}/{version}", weights::WEIGHTS);
+        let path = format!("{}{model}/{version}", weight_store::WEIGHTS_PATH);
         match fetch(store, Method::GET, path, Vec::new()).await {
             Ok((200, _)) => Ok(()),
             _ => Err(refusal(Code::Unavailable)),
@@ -513,33 +513,35 @@
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or("").to_owned();
     let response = match (request.method(), path.as_str()) {
-        (&Method::GET, engine::EVENTS) => server::json(200, &shared.events(&query).await),
-        (&Method::GET, engine::LOAD) => server::json(200, &shared.load()),
-        (&Method::GET, engine::ORDERS) => {
+        (&Method::GET, engine::CACHE_EVENTS_PATH) => {
+            server::json(200, &shared.events(&query).await)
+        }
+        (&Method::GET, engine::LOAD_PATH) => server::json(200, &shared.load()),
+        (&Method::GET, engine::ORDERS_PATH) => {
             let standing = shared.lock().standing.clone();
             server::json(200, &standing)
         }
-        (&Method::GET, engine::SNAPSHOT) => server::json(200, &shared.snapshot()),
-        (&Method::POST, engine::CANCEL) => match read(request).await? {
+        (&Method::GET, engine::CACHE_SNAPSHOT_PATH) => server::json(200, &shared.snapshot()),
+        (&Method::POST, engine::CANCEL_PATH) => match read(request).await? {
             Some(cancel) => server::json(200, &shared.cancel(&cancel)),
             None => refuse(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::COMPLETIONS) => match read(request).await? {
+        (&Method::POST, engine::COMPLETIONS_PATH) => match read(request).await? {
             Some(asked) => match engine_stream::open(&shared, asked) {
                 Ok(response) => response,
                 Err(code) => refuse(refusal(code)),
             },
             None => refuse(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::EXPORT) => match read(request).await? {
+        (&Method::POST, engine::KV_EXPORT_PATH) => match read(request).await? {
             Some(transfer) => moved(engine_kv::export(&shared, transfer).await),
             None => refuse(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::IMPORT) => match read(request).await? {
+        (&Method::POST, engine::KV_IMPORT_PATH) => match read(request).await? {
             Some(transfer) => moved(engine_kv::import(&shared, transfer).await),
             None => refuse(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::ORDERS) => match read(request).await? {
+        (&Method::POST, engine::ORDERS_PATH) => match read(request).await? {
             Some(order) => match tokio::spawn(Arc::clone(&shared).order(order)).await {
                 Ok(Ok(standing)) => server::json(200, &standing),
                 Ok(Err(refusal)) => refuse(refusal),
--- a/crates/fakes/src/engine_kv.rs
+++ b/crates/fakes/src/engine_kv.rs
@@ -9,8 +9,8 @@
 use protocol::engine::Code;
 use protocol::engine::Transfer;
 use protocol::engine::Transferred;
-use protocol::kv::BLOCKS;
-use protocol::kv::Stored;
+use protocol::kv_store::BLOCKS_PATH;
+use protocol::kv_store::StoredBlock;
 
 /// Writes the blocks that the engine holds.
 pub(crate) async fn export(shared: &Shared, asked: Transfer) -> Result<Transferred, Code> {
@@ -20,11 +20,11 @@
             let inner = shared.lock();
             let version = inner.standing.version.clone();
             let content = inner.cache.content(name);
-            content.map(|content| Stored { content, version })
+            content.map(|content| StoredBlock { content, version })
         };
         let Some(stored) = stored else { break };
         let body = serde_json::to_vec(&stored).map_err(|_| Code::BadRequest)?;
-        let path = format!("{BLOCKS}{}", block::format(name));
+        let path = format!("{BLOCKS_PATH}{}", block::format(name));
         match fetch(asked.store, Method::PUT, path, body).await {
             Ok((200, _)) => blocks.push(name),
             _ => return Err(Code::Unavailable),
@@ -37,8 +37,8 @@
 pub(crate) async fn import(shared: &Shared, asked: Transfer) -> Result<Transferred, Code> {
     let mut chain: Vec<Named> = Vec::new();
     for name in asked.blocks {
-        let path = format!("{BLOCKS}{}", block::format(name));
-        let stored: Stored = match fetch(asked.store, Method::GET, path, Vec::new()).await {
+        let path = format!("{BLOCKS_PATH}{}", block::format(name));
+        let stored: StoredBlock = match fetch(asked.store, Method::GET, path, Vec::new()).await {
             Err(_) => return Err(Code::Unavailable),
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| Code::Unavailable)?,
             Ok(_) => break,
--- a/crates/fakes/src/engine_stream.rs
+++ b/crates/fakes/src/engine_stream.rs
@@ -151,7 +151,7 @@
             Stage::Decode => self.decode().await,
             Stage::Mark => {
                 self.stage = Stage::Done;
-                Step::Send(format!("data: {}\n\n", engine::END_MARK))
+                Step::Send(format!("data: {}\n\n", engine::DONE_MARKER))
             }
             Stage::Done => Step::Done,
         }
@@ -310,7 +310,7 @@
     Silent,
 }
 
-fn known(standing: &engine::Standing, prompt: &str, offset: u64) -> Resume {
+fn known(standing: &engine::State, prompt: &str, offset: u64) -> Resume {
     let text = answer(&standing.model, &standing.version, prompt, 0, offset);
     Resume { offset, text }
 }
--- a/crates/fakes/src/kv.rs
+++ b/crates/fakes/src/kv.rs
@@ -20,11 +20,11 @@
 use crate::server::Server;
 use crate::server::lock;
 use protocol::block;
-use protocol::kv::BLOCKS;
-use protocol::kv::Stored;
+use protocol::kv_store::BLOCKS_PATH;
+use protocol::kv_store::StoredBlock;
 use state::ident::BlockHash;
 
-type Blocks = Mutex<BTreeMap<BlockHash, Stored>>;
+type Blocks = Mutex<BTreeMap<BlockHash, StoredBlock>>;
 
 /// Runs a stand-in store until it is dropped.
 pub struct Store {
@@ -69,7 +69,7 @@
 
 async fn respond(blocks: Weak<Blocks>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
     let blocks = blocks.upgrade().ok_or(Cut)?;
-    let name = request.uri().path().strip_prefix(BLOCKS);
+    let name = request.uri().path().strip_prefix(BLOCKS_PATH);
     let Some(name) = name.and_then(block::parse) else {
         return Ok(server::json(404, &"no such path"));
     };
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -127,7 +127,7 @@
 
 async fn respond(shared: Weak<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
     let shared = shared.upgrade().ok_or(Cut)?;
-    let order = request.headers().get(service::ORDER);
+    let order = request.headers().get(service::ORDER_ID_HEADER);
     let order = order.and_then(|o| o.to_str().ok()).unwrap_or("");
     let order = order.to_owned();
     let body = request.into_body().collect().await.map_err(|_| Cut)?;
@@ -156,6 +156,8 @@
 fn declined() -> Response<Body> {
     let mut response = server::json(503, &"declined");
     let value = service::NOT_RUN_TRUE.parse().expect("a word is a value");
-    response.headers_mut().insert(service::NOT_RUN, value);
+    response
+        .headers_mut()
+        .insert(service::NOT_RUN_HEADER, value);
     response
 }
--- a/crates/hibiscushoistd/src/controller.rs
+++ b/crates/hibiscushoistd/src/controller.rs
@@ -179,7 +179,7 @@
     }
 }
 
-fn read(standing: engine::Standing) -> EngineState {
+fn read(standing: engine::State) -> EngineState {
     EngineState {
         adapter: standing.adapter,
         loading: standing.loading,
@@ -189,7 +189,7 @@
     }
 }
 
-fn reply(answer: &Result<engine::Standing, Error>) -> Reply {
+fn reply(answer: &Result<engine::State, Error>) -> Reply {
     match answer {
         Err(Error::Refused { refusal, .. }) if refusal.code == Code::StaleFence => Reply::Stale,
         Err(Error::Refused { .. }) => Reply::Refused,
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -17,28 +17,28 @@
 use state::ident::Incarnation;
 
 /// Names the path that completes a prompt.
-pub const COMPLETIONS: &str = "/v1/completions";
+pub const COMPLETIONS_PATH: &str = "/v1/completions";
 /// Names the path that stops a completion.
-pub const CANCEL: &str = "/v1/cancel";
+pub const CANCEL_PATH: &str = "/v1/cancel";
 /// Names the path that lists changes of the cache.
-pub const EVENTS: &str = "/v1/cache/events";
+pub const CACHE_EVENTS_PATH: &str = "/v1/cache/events";
 /// Names the path that lists the whole cache.
-pub const SNAPSHOT: &str = "/v1/cache/snapshot";
+pub const CACHE_SNAPSHOT_PATH: &str = "/v1/cache/snapshot";
 /// Names the path that reports load.
-pub const LOAD: &str = "/v1/load";
+pub const LOAD_PATH: &str = "/v1/load";
 /// Names the path that takes and reports orders.
-pub const ORDERS: &str = "/v1/orders";
+pub const ORDERS_PATH: &str = "/v1/orders";
 /// Names the path that writes blocks to the kept-KV store.
-pub const EXPORT: &str = "/v1/kv/export";
+pub const KV_EXPORT_PATH: &str = "/v1/kv/export";
 /// Names the path that reads blocks from the kept-KV store.
-pub const IMPORT: &str = "/v1/kv/import";
+pub const KV_IMPORT_PATH: &str = "/v1/kv/import";
 
 /// Names the header with the engine's incarnation, present in every answer.
-pub const INCARNATION: &str = "x-incarnation";
+pub const INCARNATION_HEADER: &str = "x-incarnation";
 /// Names the header with the weights version, present in every answer.
-pub const WEIGHTS_VERSION: &str = "x-weights-version";
+pub const WEIGHTS_VERSION_HEADER: &str = "x-weights-version";
 /// Closes a stream that is whole.
-pub const END_MARK: &str = "[DONE]";
+pub const DONE_MARKER: &str = "[DONE]";
 
 /// Asks for the continuation of a prompt; the answer is a stream of [`Piece`]s.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -278,7 +278,7 @@
 
 /// Reports what an engine serves and which order came last.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Standing {
+pub struct State {
     /// Names the adapter, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
--- a/crates/protocol/src/kv.rs
+++ b/crates/protocol/src/kv_store.rs
@@ -7,11 +7,11 @@
 use state::ident::BlockHash;
 
 /// Starts the path of each block; its name follows.
-pub const BLOCKS: &str = "/v1/blocks/";
+pub const BLOCKS_PATH: &str = "/v1/blocks/";
 
 /// Holds a block as an engine computed it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Stored {
+pub struct StoredBlock {
     /// Holds the engine's own key of all that the content depends on.
     #[serde(with = "block")]
     pub content: BlockHash,
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// Names the path of the list.
-pub const HOSTS: &str = "/v1/hosts";
+pub const HOSTS_PATH: &str = "/v1/hosts";
 
 /// Lists the hosts as the platform saw them a while ago.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
--- a/crates/transport/src/engine.rs
+++ b/crates/transport/src/engine.rs
@@ -84,7 +84,7 @@
     /// Returns the error of the exchange.
     pub async fn cancel(&self, id: impl Into<String>) -> Result<Signed<engine::Cancelled>, Error> {
         let cancel = engine::Cancel { id: id.into() };
-        self.post(engine::CANCEL, &cancel).await
+        self.post(engine::CANCEL_PATH, &cancel).await
     }
 
     /// Starts an answer, where `planned` names the run and the weights it must come from.
@@ -97,7 +97,7 @@
         request: &engine::Request,
         planned: Option<&Signature>,
     ) -> Result<Stream, Error> {
-        let request = self.request(Method::POST, engine::COMPLETIONS, Some(request))?;
+        let request = self.request(Method::POST, engine::COMPLETIONS_PATH, Some(request))?;
         let mut connection = Connection::open(self.address, self.limits).await?;
         let response = connection.send(request).await?;
         if !response.status().is_success() {
@@ -126,7 +126,7 @@
     ///
     /// Returns the error of the exchange.
     pub async fn events(&self, after: u64) -> Result<engine::Events, Error> {
-        let path = format!("{}?after={after}", engine::EVENTS);
+        let path = format!("{}?after={after}", engine::CACHE_EVENTS_PATH);
         Ok(self.get(&path).await?.answer)
     }
 
@@ -136,7 +136,7 @@
     ///
     /// Returns the error of the exchange.
     pub async fn export(&self, transfer: &engine::Transfer) -> Result<engine::Transferred, Error> {
-        Ok(self.post(engine::EXPORT, transfer).await?.answer)
+        Ok(self.post(engine::KV_EXPORT_PATH, transfer).await?.answer)
     }
 
     /// Has blocks read from the kept-KV store.
@@ -145,7 +145,7 @@
     ///
     /// Returns the error of the exchange.
     pub async fn import(&self, transfer: &engine::Transfer) -> Result<engine::Transferred, Error> {
-        Ok(self.post(engine::IMPORT, transfer).await?.answer)
+        Ok(self.post(engine::KV_IMPORT_PATH, transfer).await?.answer)
     }
 
     /// Reads the report of the load.
@@ -154,7 +154,7 @@
     ///
     /// Returns the error of the exchange.
     pub async fn load(&self) -> Result<engine::Load, Error> {
-        Ok(self.get(engine::LOAD).await?.answer)
+        Ok(self.get(engine::LOAD_PATH).await?.answer)
     }
 
     /// Gives an order and waits until it is carried out.
@@ -162,8 +162,8 @@
     /// # Errors
     ///
     /// Returns the error of the exchange.
-    pub async fn order(&self, order: &engine::Order) -> Result<engine::Standing, Error> {
-        Ok(self.post(engine::ORDERS, order).await?.answer)
+    pub async fn order(&self, order: &engine::Order) -> Result<engine::State, Error> {
+        Ok(self.post(engine::ORDERS_PATH, order).await?.answer)
     }
 
     /// Reads the whole cache.
@@ -172,7 +172,7 @@
     ///
     /// Returns the error of the exchange.
     pub async fn snapshot(&self) -> Result<engine::Snapshot, Error> {
-        Ok(self.get(engine::SNAPSHOT).await?.answer)
+        Ok(self.get(engine::CACHE_SNAPSHOT_PATH).await?.answer)
     }
 
     /// Reads what the engine serves.
@@ -180,8 +180,8 @@
     /// # Errors
     ///
     /// Returns the error of the exchange.
-    pub async fn standing(&self) -> Result<engine::Standing, Error> {
-        Ok(self.get(engine::ORDERS).await?.answer)
+    pub async fn standing(&self) -> Result<engine::State, Error> {
+        Ok(self.get(engine::ORDERS_PATH).await?.answer)
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<Signed<T>, Error> {
@@ -259,12 +259,12 @@
             let value = headers.get(name).and_then(|v| v.to_str().ok());
             value.ok_or_else(|| self.format(Format::Header { name }))
         };
-        let name = engine::INCARNATION;
+        let name = engine::INCARNATION_HEADER;
         let number = text(name)?.parse();
         let number = number.map_err(|_| self.format(Format::Header { name }))?;
         Ok(Signature {
             incarnation: Incarnation(number),
-            version: text(engine::WEIGHTS_VERSION)?.to_owned(),
+            version: text(engine::WEIGHTS_VERSION_HEADER)?.to_owned(),
         })
     }
 }
@@ -284,7 +284,8 @@
     ///
     /// Returns the error of the exchange.
     pub async fn events(&mut self, after: u64) -> Result<engine::Events, Error> {
-        self.get(&format!("{}?after={after}", engine::EVENTS)).await
+        self.get(&format!("{}?after={after}", engine::CACHE_EVENTS_PATH))
+            .await
     }
 
     /// Reads the report of the load.
@@ -293,7 +294,7 @@
     ///
     /// Returns the error of the exchange.
     pub async fn load(&mut self) -> Result<engine::Load, Error> {
-        self.get(engine::LOAD).await
+        self.get(engine::LOAD_PATH).await
     }
 
     /// Reads the whole cache.
@@ -302,7 +303,7 @@
     ///
     /// Returns the error of the exchange.
     pub async fn snapshot(&mut self) -> Result<engine::Snapshot, Error> {
-        self.get(engine::SNAPSHOT).await
+        self.get(engine::CACHE_SNAPSHOT_PATH).await
     }
 
     async fn get<T: DeserializeOwned>(&mut self, path: &str) -> Result<T, Error> {
@@ -350,7 +351,7 @@
         for item in items {
             let item = match item {
                 sse::Item::Comment => Item::Heartbeat,
-                sse::Item::Data(text) if text == engine::END_MARK => Item::End,
+                sse::Item::Data(text) if text == engine::DONE_MARKER => Item::End,
                 sse::Item::Data(text) => {
                     let piece = serde_json::from_str(&text);
                     Item::Piece(piece.map_err(|e| format(e.into()))?)
--- a/crates/transport/src/platform.rs
+++ b/crates/transport/src/platform.rs
@@ -10,7 +10,7 @@
 use crate::upstream::Error;
 use crate::upstream::Format;
 use crate::upstream::Limits;
-use protocol::platform::HOSTS;
+use protocol::platform::HOSTS_PATH;
 use protocol::platform::Listing;
 
 /// Reads the list at `address`.
@@ -20,7 +20,7 @@
 /// Returns the error of the exchange.
 pub async fn hosts(address: SocketAddr, limits: Limits) -> Result<Listing, Error> {
     let format = |source: Format| Error::Format { address, source };
-    let request = Request::get(HOSTS).body(Full::<Bytes>::default());
+    let request = Request::get(HOSTS_PATH).body(Full::<Bytes>::default());
     let request = request.map_err(|e| format(e.into()))?;
     let mut connection = Connection::open(address, limits).await?;
     let response = connection.send(request).await?;
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -62,8 +62,8 @@
             .method(call.method.as_str())
             .uri(call.path)
             .header(CONTENT_TYPE, call.content_type)
-            .header(service::ATTEMPT, call.attempt)
-            .header(service::ORDER, call.order)
+            .header(service::ATTEMPT_HEADER, call.attempt)
+            .header(service::ORDER_ID_HEADER, call.order)
             .body(Full::new(call.body));
         let request = request.map_err(|source| Error::Format {
             address,
@@ -91,7 +91,7 @@
         Ok(Answer {
             body: self.connection.whole(body).await?,
             content_type: text(CONTENT_TYPE.as_str()),
-            not_run: text(service::NOT_RUN) == service::NOT_RUN_TRUE,
+            not_run: text(service::NOT_RUN_HEADER) == service::NOT_RUN_TRUE,
             status: head.status.as_u16(),
         })
     }
