--- a/crates/coordination/examples/assign_slope.rs
+++ b/crates/coordination/examples/assign_slope.rs
@@ -1,4 +1,4 @@
-//! Measures what the leading host spends on assigning an engine to a long prompt, by engines.
+//! Measures the time of assigning an engine to a long prompt, by the size of the fleet.
 //!
 //! `cargo run --release -p coordination --example assign_slope`
 
@@ -21,10 +21,10 @@
 use coordination::upstream_load::UpstreamLoads;
 use state::time;
 
-/// Counts the engines of the grown sites, of a sweep and of the target.
+/// Fleet sizes: those of the grown sites, of a sweep and of the target.
 const ENGINES: [usize; 4] = [68, 150, 300, 1_500];
-const ASKS: u64 = 2_000;
-/// Counts the hosts that report in turn.
+const ASSIGNMENTS: u64 = 2_000;
+/// Number of hosts that report in turn.
 const HOSTS: u64 = 40;
 const PROMPTS: u64 = 400;
 
@@ -33,19 +33,23 @@
         let fleet = fleet(engines);
         let mut assigner = Assigner::new(1);
         let loads = loads(engines);
-        let mut reported = Vec::new();
+        let mut reported_ids = Vec::new();
         let start = Instant::now();
-        for ask in 0..ASKS {
-            let now = time::Instant(ask * 10);
-            if let Ok(choice) = assigner.assign(now, &fleet, &loads, demand(ask)) {
-                reported.extend(choice.assignment_id);
-                let told = cached_prefix(ask, choice.upstream.id);
-                if ask % HOSTS == 0 {
-                    assigner.record_report(now, &std::mem::take(&mut reported), &[told]);
+        for number in 0..ASSIGNMENTS {
+            let now = time::Instant(number * 10);
+            if let Ok(choice) = assigner.assign(now, &fleet, &loads, request(number)) {
+                reported_ids.extend(choice.assignment_id);
+                let cached_prefix = cached_prefix(number, choice.upstream.id);
+                if number % HOSTS == 0 {
+                    assigner.record_report(
+                        now,
+                        &std::mem::take(&mut reported_ids),
+                        &[cached_prefix],
+                    );
                 }
             }
         }
-        let each = start.elapsed().as_secs_f64() * 1e6 / ASKS as f64;
+        let each = start.elapsed().as_secs_f64() * 1e6 / ASSIGNMENTS as f64;
         println!("{engines:5} engines: {each:8.1} us for each assignment");
     }
 }
@@ -83,8 +87,8 @@
         .collect()
 }
 
-fn demand(ask: u64) -> Request {
-    let prefix_id = format!("part-{}", ask % PROMPTS);
+fn request(number: u64) -> Request {
+    let prefix_id = format!("part-{}", number % PROMPTS);
     Request {
         unusable: Vec::new(),
         demand: Demand {
@@ -102,11 +106,11 @@
     }
 }
 
-fn cached_prefix(ask: u64, engine: String) -> CachedPrefix {
+fn cached_prefix(number: u64, engine: String) -> CachedPrefix {
     CachedPrefix {
         location: CacheLocation::Engine(engine),
         prefix: PrefixKey {
-            prefix_id: format!("part-{}", ask % PROMPTS),
+            prefix_id: format!("part-{}", number % PROMPTS),
             weights: 7,
         },
     }
--- a/crates/coordination/src/affinity.rs
+++ b/crates/coordination/src/affinity.rs
@@ -1,39 +1,40 @@
-//! Affinity: sends requests that share a prompt to one upstream, as long as that one is not behind.
+//! Affinity: sends requests with the same shared prefix to the same upstream, as long as it keeps
+//! up.
 //!
-//! Each prompt ranks all upstreams by hash, so that every host finds the same order without asking,
-//! and an upstream that is gone moves only its own prompts. A request goes to the first in that
-//! order that has room for it; without a shared prompt it goes to the smallest backlog of a few
-//! that are drawn by lot.
+//! Rendezvous hashing ranks all upstreams for each prefix, so that every host finds the same order
+//! without coordination, and a removed upstream moves only its own prefixes. A request goes to the
+//! first upstream in that order that has room for it. A request without a shared prefix goes to the
+//! smallest backlog of a small random sample.
 
 use std::cmp::Reverse;
 
 use crate::rendezvous;
 use crate::upstream::Upstream;
 
-/// Counts the candidates that are drawn by lot for a request without a shared prompt: enough that
-/// one of them reads no long prompt while half of the engines do.
-const DRAWN: usize = 4;
+/// Size of the random sample for a request without a shared prefix: enough that one of the sample
+/// prefills no long prompt while half of the engines do.
+const SAMPLE_SIZE: usize = 4;
 
-/// Describes an upstream that could run a request.
+/// An upstream that could run a request, with the expected cost of the request there.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Gives the work ahead of a new request, in milliseconds.
+    /// Time that the work ahead of a new request takes, in milliseconds.
     pub backlog_ms: u64,
-    /// Tells whether the asker keeps an idle connection to the upstream.
+    /// Whether this host keeps an idle connection to the upstream.
     pub connected: bool,
-    /// Tells whether the upstream is expected to have the request's shared prompt.
+    /// Whether the upstream is expected to have the request's shared prefix in its cache.
     pub has_prefix: bool,
-    /// Counts the tokens of the long prompts under way there.
+    /// Tokens of the long prompts in flight there.
     pub long_prompt_tokens: u64,
-    /// Tells whether the upstream is in the asker's failure domain.
+    /// Whether the upstream is in the failure domain of this host.
     pub same_domain: bool,
-    /// Names the upstream.
+    /// ID of the upstream.
     pub id: String,
-    /// Gives the time that reading the request's prompt takes there, in milliseconds.
+    /// Time that the prefill of the request's prompt takes there, in milliseconds.
     pub prefill_ms: u64,
 }
 
-/// Returns the `count` upstreams that rank highest for the shared prompt `key`, in any order.
+/// Returns the `count` upstreams that rank highest for the shared prefix `key`, in any order.
 pub fn top_ranked<'a>(
     mut upstreams: Vec<&'a Upstream>,
     key: &str,
@@ -49,7 +50,7 @@
     upstreams
 }
 
-/// Returns the place of the candidate that ranks highest for the shared prompt `key` among those
+/// Returns the index of the candidate that ranks highest for the shared prefix `key` among those
 /// that have room for it.
 pub fn first_fit(
     candidates: &[Candidate],
@@ -59,33 +60,33 @@
     let open = candidates.iter().enumerate();
     let open = open.filter(|(_, candidate)| has_room(candidate));
     let first = open.max_by_key(|(_, c)| rendezvous::score(key.as_bytes(), &c.id));
-    first.map(|(place, _)| place)
+    first.map(|(index, _)| index)
 }
 
-/// Returns the least loaded of some candidates that are drawn by lot, so that hosts which know the
+/// Returns the index of the least loaded candidate of a random sample, so that hosts which see the
 /// same loads do not all choose the same upstream.
 pub fn least_loaded_of_sample(candidates: &[Candidate], random: u64) -> Option<usize> {
     let count = candidates.len();
     let first = (random as usize).checked_rem(count)?;
-    let mut places: Vec<usize> = (0..count).collect();
-    places.rotate_left(first);
+    let mut indices: Vec<usize> = (0..count).collect();
+    indices.rotate_left(first);
     let mut rest = random >> 32;
-    for place in 1..count.min(DRAWN) {
-        let other = place + (rest as usize) % (count - place);
-        places.swap(place, other);
+    for index in 1..count.min(SAMPLE_SIZE) {
+        let other = index + (rest as usize) % (count - index);
+        indices.swap(index, other);
         rest /= count as u64;
     }
-    places.truncate(DRAWN);
+    indices.truncate(SAMPLE_SIZE);
     let key = |i: &usize| (candidates[*i].backlog_ms, !candidates[*i].same_domain);
-    places.into_iter().min_by_key(key)
+    indices.into_iter().min_by_key(key)
 }
 
-/// Returns the least loaded of the candidates to which a connection is open and which have at most
-/// `slack_ms` more work ahead than the one at `place`, or else `place`.
-pub fn prefer_connected(candidates: &[Candidate], place: usize, slack_ms: u64) -> usize {
-    let most = candidates[place].backlog_ms + slack_ms;
+/// Returns the index of the least loaded candidate with an idle connection among those whose
+/// backlog is at most `slack_ms` longer than that of the candidate at `index`, or else `index`.
+pub fn prefer_connected(candidates: &[Candidate], index: usize, slack_ms: u64) -> usize {
+    let limit_ms = candidates[index].backlog_ms + slack_ms;
     let open = candidates.iter().enumerate();
-    let open = open.filter(|(_, c)| c.connected && c.backlog_ms <= most);
+    let open = open.filter(|(_, c)| c.connected && c.backlog_ms <= limit_ms);
     let least = open.min_by_key(|(_, c)| (c.backlog_ms, !c.same_domain));
-    least.map_or(place, |(place, _)| place)
+    least.map_or(index, |(index, _)| index)
 }
--- a/crates/coordination/src/assignment.rs
+++ b/crates/coordination/src/assignment.rs
@@ -1,9 +1,9 @@
-//! Assignment: the leading host chooses the engine of each long prompt, for all hosts.
+//! Assignment: the leading host chooses the engine of each long prompt for all hosts.
 //!
-//! Hosts learn of each other's work a tenth of a second late, in which time several of them send
-//! long prompts to the engine that looks idle to all. The leading host knows at once what it has
-//! assigned. It counts a prompt that it assigned until the host's own report covers it. A host that
-//! gets no answer chooses by itself.
+//! Hosts receive each other's loads a tenth of a second late. In that time several of them would
+//! send long prompts to the same engine, which looks idle to all. The leading host sees its own
+//! assignments at once: it counts an assigned prompt as load until the report of the requesting
+//! host includes it. A host that gets no answer chooses by itself.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -19,101 +19,114 @@
 use crate::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
-/// Gives how long an assigned prompt counts that no report has covered, in milliseconds; hosts
-/// report several times a second, and one that is gone never does.
-const UNCOVERED_MS: u64 = 1_000;
-/// Gives how old the sum of the hosts' reports may be, in milliseconds; each host reports ten times
-/// a second.
-const SUM_AGE_MS: u64 = 20;
+/// How long an assignment counts as load while no report includes it, in milliseconds. Hosts report
+/// several times a second; a host that crashed never does.
+const PENDING_LIMIT_MS: u64 = 1_000;
+/// Age after which the sum of the hosts' loads is taken again, in milliseconds; each host reports
+/// ten times a second.
+const LOADS_MAX_AGE_MS: u64 = 20;
 
-/// Asks for the engine of a long prompt.
+/// A request to assign an engine to a long prompt.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Request {
-    /// Lists the engines that take no work from the asking host for now.
+    /// IDs of the engines that the requesting host does not use for now.
     pub unusable: Vec<String>,
-    /// Describes what the request needs.
+    /// Needs of the request.
     pub demand: Demand,
 }
 
+/// An assignment that no report includes yet.
 #[derive(Debug)]
-struct Open {
-    at: Instant,
-    grant: u64,
-    run: InFlight,
+struct PendingAssignment {
+    assigned_at: Instant,
+    id: u64,
+    in_flight: InFlight,
 }
 
-/// Assigns engines while its host leads.
+/// Assigns engines to long prompts while this host leads.
 #[derive(Debug)]
 pub struct Assigner {
-    dispatch: Dispatcher,
+    dispatcher: Dispatcher,
     edition: Edition,
-    grants: u64,
-    open: Vec<Open>,
-    summed: Option<Instant>,
+    last_id: u64,
+    pending: Vec<PendingAssignment>,
+    loads_taken_at: Option<Instant>,
 }
 
 impl Assigner {
-    /// Returns a desk that has assigned nothing; `seed` fixes the jitter and the number from which
-    /// assignments count, which must differ from that of other hosts.
+    /// Returns an assigner without assignments. `seed` determines the jitter and the first
+    /// assignment id; it must differ from host to host, so that ids of different leaders do.
     pub fn new(seed: u64) -> Self {
         Self {
-            dispatch: Dispatcher::new(seed),
+            dispatcher: Dispatcher::new(seed),
             edition: Edition::default(),
-            grants: seed >> 1,
-            open: Vec::new(),
-            summed: None,
+            last_id: seed >> 1,
+            pending: Vec::new(),
+            loads_taken_at: None,
         }
     }
 
-    /// Returns the engine of a long prompt; `loads` sums what all hosts have reported.
+    /// Assigns an engine to a long prompt; `loads` is the sum of the loads that hosts have
+    /// reported.
     ///
     /// # Errors
     ///
-    /// Returns why no engine takes it.
+    /// Returns the reason why no engine takes it.
     pub fn assign(
         &mut self,
         now: Instant,
         fleet: &Fleet,
         loads: &UpstreamLoads,
-        ask: Request,
+        request: Request,
     ) -> Result<Choice, Refusal> {
         if self.edition != fleet.edition {
             self.edition = fleet.edition;
-            self.dispatch.sync(fleet);
+            self.dispatcher.sync(fleet);
         }
-        if self.summed.is_none_or(|at| now.since(at) > SUM_AGE_MS) {
-            self.dispatch.set_other_loads(now, loads.clone());
-            self.summed = Some(now);
+        if self
+            .loads_taken_at
+            .is_none_or(|at| now.since(at) > LOADS_MAX_AGE_MS)
+        {
+            self.dispatcher.set_other_loads(now, loads.clone());
+            self.loads_taken_at = Some(now);
         }
-        self.close(|open| now.since(open.at) > UNCOVERED_MS);
-        let mut demand = ask.demand;
-        demand.tried.extend(ask.unusable);
-        let mut choice = self.dispatch.choose(now, fleet, &demand)?;
-        self.grants += 1;
-        choice.assignment_id = Some(self.grants);
-        let run = self.dispatch.record_sent(now, &choice, &demand);
-        self.open.push(Open {
-            at: now,
-            grant: self.grants,
-            run,
+        self.release(|pending| now.since(pending.assigned_at) > PENDING_LIMIT_MS);
+        let mut demand = request.demand;
+        demand.tried.extend(request.unusable);
+        let mut choice = self.dispatcher.choose(now, fleet, &demand)?;
+        self.last_id += 1;
+        choice.assignment_id = Some(self.last_id);
+        let in_flight = self.dispatcher.record_sent(now, &choice, &demand);
+        self.pending.push(PendingAssignment {
+            assigned_at: now,
+            id: self.last_id,
+            in_flight,
         });
         Ok(choice)
     }
 
-    /// Notes that a host's report covers assignments, and where the host has seen shared prompts.
-    pub fn record_report(&mut self, now: Instant, reported: &[u64], told: &[CachedPrefix]) {
-        if !told.is_empty() {
-            self.dispatch.record_remote_prefixes(now, told.to_vec());
+    /// Records which assignments the report of a host includes, and the prefixes that it saw
+    /// cached.
+    pub fn record_report(
+        &mut self,
+        now: Instant,
+        reported_ids: &[u64],
+        cached_prefixes: &[CachedPrefix],
+    ) {
+        if !cached_prefixes.is_empty() {
+            self.dispatcher
+                .record_remote_prefixes(now, cached_prefixes.to_vec());
         }
-        if !reported.is_empty() {
-            self.close(|open| reported.contains(&open.grant));
-            self.summed = None;
+        if !reported_ids.is_empty() {
+            self.release(|pending| reported_ids.contains(&pending.id));
+            self.loads_taken_at = None;
         }
     }
 
-    fn close(&mut self, is_over: impl Fn(&Open) -> bool) {
-        for open in self.open.extract_if(.., |open| is_over(open)) {
-            self.dispatch.record_end(&open.run);
+    /// Stops counting the assignments for which `is_over` holds.
+    fn release(&mut self, is_over: impl Fn(&PendingAssignment) -> bool) {
+        for pending in self.pending.extract_if(.., |pending| is_over(pending)) {
+            self.dispatcher.record_end(&pending.in_flight);
         }
     }
 }
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -1,5 +1,8 @@
-//! Dispatch: chooses the upstream of a routed request from what this host has seen itself and what
-//! the fleet's list says, and refuses at once what cannot be served.
+//! Chooses the upstream of each routed request, and refuses at once a request that cannot be
+//! served.
+//!
+//! The choice combines what this host observes itself (requests in flight, failures, answers) with
+//! the published list of upstreams and with the loads and cached prefixes that other hosts report.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,45 +31,46 @@
 use crate::upstream_load::UpstreamLoads;
 use state::time::Instant;
 
-/// Counts the prompt tokens that an engine reads in a millisecond: engines of this class read 62 by
-/// themselves, and a piece of 4,096 takes 93 ms with the steps of other answers in between.
-const READ_TOKENS_PER_MS: u64 = 45;
-/// Gives how much longer a request may wait for an engine with the newest weights, in
-/// milliseconds: a fifth of the second within which a long answer should begin, as an answer on
-/// older weights is worth a fifth less, and as much again because it may be read twice.
-const NEWEST_MS: u64 = 400;
-/// Gives how much one more running request slows the others down, in milliseconds of waiting.
-const RUNNING_MS: u64 = 3;
-/// Gives how long what other hosts have under way counts, in milliseconds.
-const LOAD_AGE_MS: u64 = 1_000;
-/// Gives how long an upstream that refused a request gets no other, in milliseconds.
-const REFUSED_MS: u64 = 250;
-/// Gives the time from when a prompt is read until its answer reaches the caller's host, in
-/// milliseconds: an engine's first token, a step of its batch and the way.
-const FIRST_MS: u64 = 200;
-/// Bounds the reading that may be ahead of a long prompt that cannot be in time, in milliseconds,
-/// so that those which can be in time go first.
-const ROOM_LATE_MS: u64 = 100;
-/// Gives the share of the engines that must have little to read before a late prompt takes one of
-/// them, in percent; the last idle engines are for prompts that can be in time.
-const SPARE_PERCENT: usize = 20;
-/// Bounds the part of an engine's memory that long prompts under way may fill, in percent; the rest
-/// is for short prompts and for what answers add.
-const LONG_PERCENT: u64 = 85;
-/// Gives the longer wait that an open connection is worth, as a divisor of the time left until the
-/// answer should begin: a new connection costs a round trip at the upstream and a handshake, and a
-/// twentieth of the time does not make an answer late.
-const CONNECTION_DIVISOR: u64 = 20;
-/// Bounds the engines that are weighed for a long prompt, the first in its order, so that a choice
-/// costs no more in a larger fleet; as many as a shard has.
-const WEIGHED: usize = shard::UPSTREAMS_PER_SHARD;
-/// Gives the share of a prompt's reading that fetching it takes, as a divisor.
+/// Prefill rate of an engine, in prompt tokens per millisecond. An engine of this class computes 62
+/// when it does nothing else; a chunk of 4,096 tokens takes 93 ms with decode steps in between.
+const PREFILL_TOKENS_PER_MS: u64 = 45;
+/// How much longer a request may wait for an engine with the newest weights, in milliseconds. A
+/// long answer should begin within a second, and an answer on older weights is worth a fifth less,
+/// which makes 200 ms; as much again because its prompt may have to be prefilled twice.
+const NEWEST_WEIGHTS_WAIT_MS: u64 = 400;
+/// Delay that one more running request causes to the others, in milliseconds of waiting.
+const RUNNING_REQUEST_DELAY_MS: u64 = 3;
+/// Age up to which the loads of other hosts count, in milliseconds.
+const OTHER_LOADS_MAX_AGE_MS: u64 = 1_000;
+/// How long an upstream that refused a request gets no further one, in milliseconds.
+const REFUSAL_PAUSE_MS: u64 = 250;
+/// Time from the end of a prefill until the answer reaches the caller's host, in milliseconds: the
+/// first token, one step of the engine's batch and the network.
+const FIRST_BYTE_AFTER_PREFILL_MS: u64 = 200;
+/// Backlog up to which an engine counts as idle, in milliseconds of prefill. A long prompt that
+/// cannot begin in time goes only to an idle engine, so that those which can go first.
+const IDLE_BACKLOG_MS: u64 = 100;
+/// Share of the engines that must be idle before a late prompt takes one of them, in percent; the
+/// last idle engines are kept for prompts that can begin in time.
+const RESERVED_IDLE_PERCENT: usize = 20;
+/// Share of an engine's memory that long prompts in flight may fill, in percent; the rest is for
+/// short prompts and for the tokens of answers.
+const LONG_PROMPT_MEMORY_PERCENT: u64 = 85;
+/// Longer wait that an idle connection is worth, as a divisor of the time left until the answer
+/// should begin. A new connection costs a round trip and a handshake at the upstream; a twentieth
+/// of the time does not make an answer late.
+const CONNECTED_SLACK_DIVISOR: u64 = 20;
+/// Number of engines that are considered for a long prompt, the first in its rendezvous order, so
+/// that a choice costs no more in a larger fleet; as many as a shard has.
+const LONG_PROMPT_CANDIDATES: usize = shard::UPSTREAMS_PER_SHARD;
+/// Cost of fetching a prefix from another engine, as a divisor of the cost of its prefill.
 const FETCH_DIVISOR: u64 = 8;
 
-/// Bounds ejections: three failures in a row are rarely chance where one answer in seven fails; a
-/// pause ends in time for an upstream that was started again, and doubles while it is still down;
-/// two fifths of the upstreams stay, since a fleet that fails as a whole is not to be left.
-const EJECTION: Policy = Policy {
+/// Policy of the circuit breaker. Three failures in a row are rarely chance where one answer in
+/// seven fails. An ejection ends soon enough for an upstream that was restarted, and doubles while
+/// it is still down. Two fifths of the upstreams always stay, because a fleet that fails as a whole
+/// must not lose all of them.
+const EJECTION_POLICY: Policy = Policy {
     failures_to_eject: 3,
     ejection_ms: 500,
     ejection_limit_ms: 4_000,
@@ -74,27 +78,28 @@
     max_ejected_percent: 60,
 };
 
-/// Names a request under way.
+/// A request in flight at an upstream, as later events of it are recorded with.
 #[derive(Clone, Debug)]
 pub struct InFlight {
-    id: String,
+    upstream_id: String,
     long_prompt_tokens: u64,
     prefix: Option<PrefixKey>,
     request_id: RequestId,
-    tokens: u64,
+    pending_prefill_tokens: u64,
 }
 
+/// What this host itself has observed of an upstream.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct LocalState {
     long_prompt_tokens: u64,
-    refused: Option<Instant>,
+    refused_at: Option<Instant>,
     running: u32,
     pending_prefill_tokens: u64,
     weights: BTreeMap<String, u64>,
 }
 
-impl Seen {
-    /// Returns what this host has under way.
+impl LocalState {
+    /// Returns the load that this host causes.
     fn load(&self, last_byte_age_ms: Option<u64>) -> UpstreamLoad {
         UpstreamLoad {
             long_prompt_tokens: self.long_prompt_tokens,
@@ -105,61 +110,61 @@
     }
 }
 
-/// Tells where a shared prompt is expected, as seen from an engine.
+/// Where a shared prefix is expected to be cached, as seen from one engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Cached {
+enum PrefixAvailability {
     Elsewhere,
     Here,
     Nowhere,
 }
 
-/// Chooses upstreams.
+/// Chooses upstreams for the requests of this host, and records what becomes of them.
 #[derive(Debug)]
 pub struct Dispatcher {
     breaker: CircuitBreaker,
-    grants: Vec<u64>,
+    assignment_ids: Vec<u64>,
     prefix_index: PrefixIndex,
-    others: (Instant, UpstreamLoads),
-    seen: BTreeMap<String, Seen>,
+    other_loads: (Instant, UpstreamLoads),
+    local: BTreeMap<String, LocalState>,
     unresponsive: UnresponsiveDetector,
 }
 
 impl Dispatcher {
-    /// Returns a dispatch that has seen nothing; `seed` fixes the jitter.
+    /// Returns a dispatcher without observations; `seed` determines the jitter.
     pub fn new(seed: u64) -> Self {
         Self {
-            breaker: CircuitBreaker::new(EJECTION, seed),
-            grants: Vec::new(),
+            breaker: CircuitBreaker::new(EJECTION_POLICY, seed),
+            assignment_ids: Vec::new(),
             prefix_index: PrefixIndex::default(),
-            others: Default::default(),
-            seen: BTreeMap::new(),
+            other_loads: Default::default(),
+            local: BTreeMap::new(),
             unresponsive: UnresponsiveDetector::default(),
         }
     }
 
-    /// Forgets upstreams that are gone.
+    /// Drops the state of upstreams that are no longer listed and have no request in flight.
     pub fn sync(&mut self, fleet: &Fleet) {
         let ids: Vec<&String> = fleet.upstreams.iter().map(|u| &u.id).collect();
         self.breaker.sync(ids.iter().map(|id| (*id).clone()));
-        self.seen
-            .retain(|id, seen| seen.running > 0 || ids.contains(&id));
+        self.local
+            .retain(|id, local| local.running > 0 || ids.contains(&id));
         self.unresponsive
             .retain(|id| ids.iter().any(|known| *known == id));
     }
 
-    /// Returns where a request goes.
+    /// Chooses the upstream of a request.
     ///
     /// # Errors
     ///
-    /// Returns why no upstream takes it.
+    /// Returns the reason why no upstream takes the request.
     pub fn choose(
         &mut self,
         now: Instant,
         fleet: &Fleet,
         demand: &Demand,
     ) -> Result<Choice, Refusal> {
-        let ready = self.ready(now, fleet, demand);
-        let upstream = self.pick(now, &ready, demand)?.clone();
+        let eligible = self.eligible(now, fleet, demand);
+        let upstream = self.pick(now, &eligible, demand)?.clone();
         let expected = self.candidate(now, &upstream, demand);
         let _ = self.breaker.admit(now, &upstream.id);
         let weights = demand
@@ -170,8 +175,8 @@
         let store = prefix.as_ref();
         let store = store.and_then(|prefix| prefix_index::store_for(&demand.stores, prefix));
         let fetch_from = prefix.as_ref().and_then(|prefix| {
-            let peer = self.source(now, fleet, demand, &upstream, prefix);
-            peer.or(store)
+            let engine = self.fetch_source(now, fleet, demand, &upstream, prefix);
+            engine.or(store)
         });
         let saves = prefix.filter(|_| store.is_some());
         let saves = saves.is_some_and(|prefix| self.prefix_index.claim_save(now, &prefix));
@@ -179,7 +184,10 @@
             backlog_ms: expected.backlog_ms,
             fetch_from,
             assignment_id: None,
-            rank: match (&demand.shared_prefix, demand.first_byte_left_ms > FIRST_MS) {
+            rank: match (
+                &demand.shared_prefix,
+                demand.first_byte_left_ms > FIRST_BYTE_AFTER_PREFILL_MS,
+            ) {
                 (None, _) => Rank::Normal,
                 (Some(_), true) => Rank::First,
                 (Some(_), false) => Rank::Last,
@@ -191,149 +199,160 @@
         })
     }
 
-    /// Notes that a request was sent, and returns what its further events are noted with.
+    /// Records that a request was sent, and returns the handle for its further events.
     pub fn record_sent(&mut self, now: Instant, choice: &Choice, demand: &Demand) -> InFlight {
-        self.grants.extend(choice.assignment_id);
-        let id = choice.upstream.id.clone();
-        let cached = self.cached(now, &choice.upstream, demand);
-        let tokens = reading_tokens(demand, cached);
-        let seen = self.seen.entry(id.clone()).or_default();
+        self.assignment_ids.extend(choice.assignment_id);
+        let upstream_id = choice.upstream.id.clone();
+        let availability = self.prefix_availability(now, &choice.upstream, demand);
+        let pending_prefill_tokens = prefill_tokens(demand, availability);
+        let local = self.local.entry(upstream_id.clone()).or_default();
         let long_prompt_tokens = demand
             .shared_prefix
             .as_ref()
             .map_or(0, |_| demand.prompt_tokens);
-        seen.long_prompt_tokens += long_prompt_tokens;
-        seen.running += 1;
-        seen.pending_prefill_tokens += tokens;
-        let work_ms = 2 * self.load(now, &id).pending_prefill_tokens / READ_TOKENS_PER_MS;
-        let request_id = self.unresponsive.record_sent(now, id.clone(), work_ms);
+        local.long_prompt_tokens += long_prompt_tokens;
+        local.running += 1;
+        local.pending_prefill_tokens += pending_prefill_tokens;
+        let work_ms =
+            2 * self.load(now, &upstream_id).pending_prefill_tokens / PREFILL_TOKENS_PER_MS;
+        let request_id = self
+            .unresponsive
+            .record_sent(now, upstream_id.clone(), work_ms);
         InFlight {
-            id,
+            upstream_id,
             long_prompt_tokens,
             prefix: choice
                 .weights
                 .and_then(|weights| demand.prefix_key(weights)),
             request_id,
-            tokens,
+            pending_prefill_tokens,
         }
     }
 
-    /// Returns the choices of the leading host by which requests were sent since it was asked last;
-    /// what this host has under way covers them.
+    /// Takes the ids of the leading host's assignments by which requests were sent since the last
+    /// call; the loads that this host reports include them.
     pub fn take_assignment_ids(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.grants)
+        std::mem::take(&mut self.assignment_ids)
     }
 
-    /// Returns what this host has under way at upstreams.
+    /// Returns the load that this host causes at each upstream.
     pub fn loads(&self, now: Instant) -> UpstreamLoads {
-        let busy = self.seen.iter().filter(|(_, seen)| seen.running > 0);
-        let load = |(id, seen): (&String, &Seen)| {
+        let busy = self.local.iter().filter(|(_, local)| local.running > 0);
+        let load = |(id, local): (&String, &LocalState)| {
             let last_byte_age_ms = self.unresponsive.last_byte_age_ms(now, id);
-            (id.clone(), seen.load(last_byte_age_ms))
+            (id.clone(), local.load(last_byte_age_ms))
         };
         busy.map(load).collect()
     }
 
-    /// Notes what other hosts have under way at upstreams.
-    pub fn set_other_loads(&mut self, now: Instant, others: UpstreamLoads) {
-        for (id, load) in &others {
-            if let Some(quiet) = load.last_byte_age_ms {
-                self.unresponsive.record_remote_byte(now.before(quiet), id);
+    /// Replaces the loads that other hosts cause at upstreams.
+    pub fn set_other_loads(&mut self, now: Instant, other_loads: UpstreamLoads) {
+        for (id, load) in &other_loads {
+            if let Some(age_ms) = load.last_byte_age_ms {
+                self.unresponsive.record_remote_byte(now.before(age_ms), id);
             }
         }
-        self.others = (now, others);
+        self.other_loads = (now, other_loads);
     }
 
-    /// Notes where other hosts have seen shared prompts.
+    /// Records the cached prefixes that other hosts have reported.
     pub fn record_remote_prefixes(&mut self, now: Instant, cached_prefixes: Vec<CachedPrefix>) {
         self.prefix_index.record_remote(now, cached_prefixes);
         self.prefix_index.expire(now);
     }
 
-    /// Returns where this host has seen shared prompts since it was asked last.
+    /// Takes the cached prefixes that this host has recorded since the last call.
     pub fn take_prefix_updates(&mut self, now: Instant) -> Vec<CachedPrefix> {
         self.prefix_index.take_updates(now)
     }
 
-    /// Has what this host has seen of shared prompts told once more, as it was told in vain or to
-    /// a host that no longer leads.
+    /// Queues the recent cached prefixes of this host again, after they were sent without an answer
+    /// or to a host that no longer leads.
     pub fn resend_prefix_updates(&mut self, now: Instant) {
         self.prefix_index.resend_updates(now);
     }
 
-    /// Notes the head of an answer.
-    pub fn record_answer_head(&mut self, now: Instant, run: &mut InFlight) {
-        self.record_byte(now, run);
-        self.unresponsive.record_ended(&run.id, run.request_id);
-        if let Some(seen) = self.seen.get_mut(&run.id) {
-            seen.pending_prefill_tokens = seen.pending_prefill_tokens.saturating_sub(run.tokens);
-            run.tokens = 0;
+    /// Records that the head of an answer arrived, which ends the prefill.
+    pub fn record_answer_head(&mut self, now: Instant, in_flight: &mut InFlight) {
+        self.record_byte(now, in_flight);
+        self.unresponsive
+            .record_ended(&in_flight.upstream_id, in_flight.request_id);
+        if let Some(local) = self.local.get_mut(&in_flight.upstream_id) {
+            local.pending_prefill_tokens = local
+                .pending_prefill_tokens
+                .saturating_sub(in_flight.pending_prefill_tokens);
+            in_flight.pending_prefill_tokens = 0;
         }
     }
 
-    /// Notes that the upstream has read the request's prompt, since it began to answer.
-    pub fn record_prefill(&mut self, now: Instant, run: &mut InFlight) {
-        if let Some(prefix) = run.prefix.take() {
-            let location = CacheLocation::Engine(run.id.clone());
+    /// Records that the upstream has the request's prefix in its cache, because it began to answer.
+    pub fn record_prefill(&mut self, now: Instant, in_flight: &mut InFlight) {
+        if let Some(prefix) = in_flight.prefix.take() {
+            let location = CacheLocation::Engine(in_flight.upstream_id.clone());
             self.prefix_index
                 .record_local(now, CachedPrefix { location, prefix });
         }
     }
 
-    /// Notes a byte of an answer.
-    pub fn record_byte(&mut self, now: Instant, run: &InFlight) {
-        self.unresponsive.record_byte(now, &run.id);
+    /// Records that bytes of an answer arrived.
+    pub fn record_byte(&mut self, now: Instant, in_flight: &InFlight) {
+        self.unresponsive.record_byte(now, &in_flight.upstream_id);
     }
 
-    /// Notes the version of an engine's weights as an answer gave it.
-    pub fn record_weights(&mut self, run: &InFlight, model: impl Into<String>, version: u64) {
-        if let Some(seen) = self.seen.get_mut(&run.id) {
-            let known = seen.weights.entry(model.into()).or_default();
+    /// Records the weights version that an answer names.
+    pub fn record_weights(&mut self, in_flight: &InFlight, model: impl Into<String>, version: u64) {
+        if let Some(local) = self.local.get_mut(&in_flight.upstream_id) {
+            let known = local.weights.entry(model.into()).or_default();
             *known = version.max(*known);
         }
     }
 
-    /// Notes that the upstream refused the request without running it.
-    pub fn record_refusal(&mut self, now: Instant, run: &InFlight) {
-        if let Some(seen) = self.seen.get_mut(&run.id) {
-            seen.refused = Some(now);
+    /// Records that the upstream refused the request without running it.
+    pub fn record_refusal(&mut self, now: Instant, in_flight: &InFlight) {
+        if let Some(local) = self.local.get_mut(&in_flight.upstream_id) {
+            local.refused_at = Some(now);
         }
     }
 
-    /// Notes that the request failed at the upstream, and returns whether that ejected it.
-    pub fn record_failure(&mut self, now: Instant, run: &InFlight) -> bool {
-        self.breaker.record_failure(now, run.id.clone())
+    /// Records that the request failed at the upstream, and returns whether that ejected it.
+    pub fn record_failure(&mut self, now: Instant, in_flight: &InFlight) -> bool {
+        self.breaker
+            .record_failure(now, in_flight.upstream_id.clone())
     }
 
-    /// Notes that the upstream served the request.
-    pub fn record_success(&mut self, run: &InFlight) {
-        self.breaker.record_success(&run.id);
+    /// Records that the upstream served the request, which ends an ejection.
+    pub fn record_success(&mut self, in_flight: &InFlight) {
+        self.breaker.record_success(&in_flight.upstream_id);
     }
 
-    /// Notes that a request is no longer under way.
-    pub fn record_end(&mut self, run: &InFlight) {
-        self.unresponsive.record_ended(&run.id, run.request_id);
-        if let Some(seen) = self.seen.get_mut(&run.id) {
-            seen.long_prompt_tokens = seen
+    /// Records that a request is no longer in flight.
+    pub fn record_end(&mut self, in_flight: &InFlight) {
+        self.unresponsive
+            .record_ended(&in_flight.upstream_id, in_flight.request_id);
+        if let Some(local) = self.local.get_mut(&in_flight.upstream_id) {
+            local.long_prompt_tokens = local
                 .long_prompt_tokens
-                .saturating_sub(run.long_prompt_tokens);
-            seen.running = seen.running.saturating_sub(1);
-            seen.pending_prefill_tokens = seen.pending_prefill_tokens.saturating_sub(run.tokens);
+                .saturating_sub(in_flight.long_prompt_tokens);
+            local.running = local.running.saturating_sub(1);
+            local.pending_prefill_tokens = local
+                .pending_prefill_tokens
+                .saturating_sub(in_flight.pending_prefill_tokens);
         }
     }
 
-    /// Returns whether an upstream would take a request now, without sending it there.
+    /// Returns whether some upstream would take a request now, without choosing it.
     pub fn can_place(&self, now: Instant, fleet: &Fleet, demand: &Demand) -> bool {
-        let ready = self.ready(now, fleet, demand);
-        self.pick(now, &ready, demand).is_ok()
+        let eligible = self.eligible(now, fleet, demand);
+        self.pick(now, &eligible, demand).is_ok()
     }
 
-    /// Returns whether the upstream of a request answers nobody.
-    pub fn is_unresponsive(&self, now: Instant, run: &InFlight) -> bool {
-        self.unresponsive.is_unresponsive(now, &run.id)
+    /// Returns whether the upstream of a request, or the path to it, has stopped responding.
+    pub fn is_unresponsive(&self, now: Instant, in_flight: &InFlight) -> bool {
+        self.unresponsive
+            .is_unresponsive(now, &in_flight.upstream_id)
     }
 
-    /// Returns whether the upstream's weights may still serve the request.
+    /// Returns whether the upstream's weights version may serve the request.
     fn is_current(&self, fleet: &Fleet, upstream: &Upstream, demand: &Demand) -> bool {
         let floor = demand.model.as_ref().and_then(|model| {
             let floor = fleet.floors.get(model)?;
@@ -344,54 +363,57 @@
             && exact.is_none_or(|(model, exact)| self.weights(upstream, model) == exact)
     }
 
-    /// Returns the upstreams of a service that take no work from this host for now.
+    /// Returns the upstreams of a service that this host does not use for now.
     pub fn unusable(&self, now: Instant, fleet: &Fleet, service: &str) -> Vec<String> {
         let listed = fleet.upstreams.iter();
         let of_service = listed.filter(|upstream| upstream.service == service);
-        let avoided = of_service.filter(|upstream| !self.is_usable(now, &upstream.id));
-        avoided.map(|upstream| upstream.id.clone()).collect()
+        let unusable = of_service.filter(|upstream| !self.is_usable(now, &upstream.id));
+        unusable.map(|upstream| upstream.id.clone()).collect()
     }
 
+    /// Returns whether an upstream is neither ejected nor unresponsive, and has not refused a
+    /// request lately.
     fn is_usable(&self, now: Instant, id: &str) -> bool {
-        let refused = self.seen.get(id).and_then(|seen| seen.refused);
+        let refused_at = self.local.get(id).and_then(|local| local.refused_at);
         !matches!(self.breaker.state(now, id), State::Open(_))
             && !self.unresponsive.is_unresponsive(now, id)
-            && refused.is_none_or(|at| now.since(at) > REFUSED_MS)
+            && refused_at.is_none_or(|at| now.since(at) > REFUSAL_PAUSE_MS)
     }
 
-    /// Returns the upstreams that may take a request: those that look sound or, where none does,
-    /// all that are listed as ready and have not failed the request. For a long prompt they are
-    /// among the first in its order.
-    fn ready<'a>(&self, now: Instant, fleet: &'a Fleet, demand: &Demand) -> Vec<&'a Upstream> {
-        let takes = |upstream: &&Upstream| {
+    /// Returns the upstreams that may take a request: the usable ones or, where none is usable, all
+    /// that are listed as ready and have not failed the request. For a long prompt they are among
+    /// the first in its rendezvous order.
+    fn eligible<'a>(&self, now: Instant, fleet: &'a Fleet, demand: &Demand) -> Vec<&'a Upstream> {
+        let is_eligible = |upstream: &&Upstream| {
             upstream.service == demand.service
                 && upstream.standing == upstream::Standing::Ready
                 && !demand.tried.contains(&upstream.id)
                 && self.is_current(fleet, upstream, demand)
         };
-        let listed: Vec<&Upstream> = fleet.upstreams.iter().filter(takes).collect();
+        let listed: Vec<&Upstream> = fleet.upstreams.iter().filter(is_eligible).collect();
         let listed = match &demand.shared_prefix {
-            Some((prefix_id, _)) => affinity::top_ranked(listed, prefix_id, WEIGHED),
+            Some((prefix_id, _)) => affinity::top_ranked(listed, prefix_id, LONG_PROMPT_CANDIDATES),
             None => listed,
         };
-        let is_sound = |upstream: &&Upstream| self.is_usable(now, &upstream.id);
-        let sound: Vec<&Upstream> = listed.iter().copied().filter(is_sound).collect();
-        match sound.is_empty() {
-            false => sound,
+        let is_usable = |upstream: &&Upstream| self.is_usable(now, &upstream.id);
+        let usable: Vec<&Upstream> = listed.iter().copied().filter(is_usable).collect();
+        match usable.is_empty() {
+            false => usable,
             true => listed,
         }
     }
 
     /// Picks the upstream of a request.
     ///
-    /// A long prompt goes where its answer begins in time, first where it was read before, since
-    /// each engine that reads it as well drops another prompt for it. A late one goes where little
-    /// is ahead of it, while enough engines have little to read. Both go to the newest weights
-    /// first. A short one goes to the newest weights, unless work waits much longer there.
+    /// A long prompt goes to an engine where its answer begins in time, preferably one that has the
+    /// prefix cached, because each further engine that prefills it evicts another prefix. A prompt
+    /// that is late everywhere goes to an idle engine, while enough engines are idle. Both prefer
+    /// the newest weights. A short prompt goes to the newest weights, unless the backlog there is
+    /// much longer.
     fn pick<'a>(
         &self,
         now: Instant,
-        ready: &[&'a Upstream],
+        eligible: &[&'a Upstream],
         demand: &Demand,
     ) -> Result<&'a Upstream, Refusal> {
         let has_newest = |upstream: &Upstream| {
@@ -399,114 +421,121 @@
             model.is_none_or(|model| self.weights(upstream, model) >= demand.newest_weights)
         };
         let (newest, older): (Vec<&Upstream>, Vec<&Upstream>) =
-            ready.iter().partition(|upstream| has_newest(upstream));
+            eligible.iter().partition(|upstream| has_newest(upstream));
         let candidates = |upstreams: &[&Upstream]| -> Vec<Candidate> {
             let candidate = |upstream: &&Upstream| self.candidate(now, upstream, demand);
             upstreams.iter().map(candidate).collect()
         };
         let (new, old) = (candidates(&newest), candidates(&older));
-        let Some(least) = new.iter().chain(&old).map(|c| c.backlog_ms).min() else {
+        let Some(min_backlog_ms) = new.iter().chain(&old).map(|c| c.backlog_ms).min() else {
             return Err(Refusal::NoUpstream);
         };
-        if least > demand.left_ms {
+        if min_backlog_ms > demand.left_ms {
             return Err(Refusal::TooLate);
         }
         if let Some((prefix_id, _)) = &demand.shared_prefix {
             let first = |has_room: &dyn Fn(&Candidate) -> bool| {
-                let place =
-                    affinity::first_fit(&new, prefix_id, has_room).map(|place| newest[place]);
-                place.or_else(|| Some(older[affinity::first_fit(&old, prefix_id, has_room)?]))
+                let upstream = affinity::first_fit(&new, prefix_id, has_room).map(|i| newest[i]);
+                upstream.or_else(|| Some(older[affinity::first_fit(&old, prefix_id, has_room)?]))
             };
             let in_time = |candidate: &Candidate| {
                 fits(candidate, demand) && begins_in_time(candidate, demand)
             };
-            let cached_prefix = |candidate: &Candidate| candidate.has_prefix && in_time(candidate);
-            let is_idle = |candidate: &Candidate| candidate.backlog_ms <= ROOM_LATE_MS;
-            let soon = |candidate: &Candidate| fits(candidate, demand) && is_idle(candidate);
+            let cached_in_time = |candidate: &Candidate| candidate.has_prefix && in_time(candidate);
+            let is_idle = |candidate: &Candidate| candidate.backlog_ms <= IDLE_BACKLOG_MS;
+            let idle_fit = |candidate: &Candidate| fits(candidate, demand) && is_idle(candidate);
             let idle = new.iter().chain(&old).filter(|c| is_idle(c)).count();
-            let spares = idle * 100 > ready.len() * SPARE_PERCENT;
-            let place = first(&cached_prefix).or_else(|| first(&in_time));
-            let place = place.or_else(|| first(&soon).filter(|_| spares));
-            return place.ok_or(Refusal::Busy);
+            let enough_idle = idle * 100 > eligible.len() * RESERVED_IDLE_PERCENT;
+            let upstream = first(&cached_in_time).or_else(|| first(&in_time));
+            let upstream = upstream.or_else(|| first(&idle_fit).filter(|_| enough_idle));
+            return upstream.ok_or(Refusal::Busy);
         }
         let backlog = |candidates: &[Candidate]| candidates.iter().map(|c| c.backlog_ms).min();
-        let keeps_up = match (backlog(&new), backlog(&old)) {
-            (Some(new), Some(old)) => new <= old + NEWEST_MS,
+        let prefers_newest = match (backlog(&new), backlog(&old)) {
+            (Some(new), Some(old)) => new <= old + NEWEST_WEIGHTS_WAIT_MS,
             (Some(_), None) => true,
             (None, _) => false,
         };
-        let (among, candidates) = match keeps_up {
+        let (upstreams, candidates) = match prefers_newest {
             false if new.is_empty() => (older, old),
-            false => (ready.to_vec(), candidates(ready)),
+            false => (eligible.to_vec(), candidates(eligible)),
             true => (newest, new),
         };
-        let place = affinity::least_loaded_of_sample(&candidates, demand.random);
-        let place = place.ok_or(Refusal::NoUpstream)?;
-        let slack_ms = demand.first_byte_left_ms / CONNECTION_DIVISOR;
-        Ok(among[affinity::prefer_connected(&candidates, place, slack_ms)])
+        let index = affinity::least_loaded_of_sample(&candidates, demand.random);
+        let index = index.ok_or(Refusal::NoUpstream)?;
+        let slack_ms = demand.first_byte_left_ms / CONNECTED_SLACK_DIVISOR;
+        Ok(upstreams[affinity::prefer_connected(&candidates, index, slack_ms)])
     }
 
-    /// Returns what all hosts have under way at an upstream.
+    /// Returns the load that all hosts cause at an upstream.
     fn load(&self, now: Instant, id: &str) -> UpstreamLoad {
-        let own = self.seen.get(id).map(|seen| seen.load(None));
+        let own = self.local.get(id).map(|local| local.load(None));
         let own = own.unwrap_or_default();
-        let fresh = now.since(self.others.0) <= LOAD_AGE_MS;
-        let others = self.others.1.get(id).copied().filter(|_| fresh);
-        let others = others.unwrap_or_default();
+        let fresh = now.since(self.other_loads.0) <= OTHER_LOADS_MAX_AGE_MS;
+        let other_loads = self.other_loads.1.get(id).copied().filter(|_| fresh);
+        let other_loads = other_loads.unwrap_or_default();
         UpstreamLoad {
-            long_prompt_tokens: own.long_prompt_tokens + others.long_prompt_tokens,
+            long_prompt_tokens: own.long_prompt_tokens + other_loads.long_prompt_tokens,
             last_byte_age_ms: None,
-            running: own.running + others.running,
-            pending_prefill_tokens: own.pending_prefill_tokens + others.pending_prefill_tokens,
+            running: own.running + other_loads.running,
+            pending_prefill_tokens: own.pending_prefill_tokens + other_loads.pending_prefill_tokens,
         }
     }
 
+    /// Returns an upstream with the expected cost of the request there.
     fn candidate(&self, now: Instant, upstream: &Upstream, demand: &Demand) -> Candidate {
         let load = self.load(now, &upstream.id);
-        let running_ms = u64::from(load.running) * RUNNING_MS;
-        let cached = self.cached(now, upstream, demand);
+        let running_ms = u64::from(load.running) * RUNNING_REQUEST_DELAY_MS;
+        let availability = self.prefix_availability(now, upstream, demand);
         Candidate {
-            backlog_ms: load.pending_prefill_tokens / READ_TOKENS_PER_MS + running_ms,
+            backlog_ms: load.pending_prefill_tokens / PREFILL_TOKENS_PER_MS + running_ms,
             connected: demand.connected.contains(&upstream.address),
-            has_prefix: cached == Cached::Here,
+            has_prefix: availability == PrefixAvailability::Here,
             id: upstream.id.clone(),
             long_prompt_tokens: load.long_prompt_tokens,
             same_domain: upstream.domain == demand.domain,
-            prefill_ms: reading_tokens(demand, cached) / READ_TOKENS_PER_MS,
+            prefill_ms: prefill_tokens(demand, availability) / PREFILL_TOKENS_PER_MS,
         }
     }
 
-    /// Returns where a request's shared prompt is expected, as seen from an engine.
-    fn cached(&self, now: Instant, upstream: &Upstream, demand: &Demand) -> Cached {
+    /// Returns where a request's shared prefix is expected to be cached, as seen from an engine.
+    fn prefix_availability(
+        &self,
+        now: Instant,
+        upstream: &Upstream,
+        demand: &Demand,
+    ) -> PrefixAvailability {
         let model = demand.model.as_ref();
         let weights = model.map(|model| self.weights(upstream, model));
         let Some(prefix) = weights.and_then(|weights| demand.prefix_key(weights)) else {
-            return Cached::Nowhere;
+            return PrefixAvailability::Nowhere;
         };
-        let holders = self.prefix_index.engines(now, &prefix);
-        match (holders.contains(&upstream.id.as_str()), holders.is_empty()) {
-            (true, _) => Cached::Here,
-            (false, false) => Cached::Elsewhere,
-            (false, true) => Cached::Nowhere,
+        let engines = self.prefix_index.engines(now, &prefix);
+        match (engines.contains(&upstream.id.as_str()), engines.is_empty()) {
+            (true, _) => PrefixAvailability::Here,
+            (false, false) => PrefixAvailability::Elsewhere,
+            (false, true) => PrefixAvailability::Nowhere,
         }
     }
 
+    /// Returns the weights version of an upstream: the newer of the listed one and the one that its
+    /// answers named.
     fn weights(&self, upstream: &Upstream, model: &str) -> u64 {
         let listed = upstream.weights.get(model).copied().unwrap_or_default();
-        let learned = self
-            .seen
+        let answered = self
+            .local
             .get(&upstream.id)
-            .and_then(|seen| seen.weights.get(model).copied());
-        listed.max(learned.unwrap_or_default())
+            .and_then(|local| local.weights.get(model).copied());
+        listed.max(answered.unwrap_or_default())
     }
 
-    /// Returns the engine from which another fetches a shared prompt that it may lack: one that
-    /// read it for the same weights, in the same failure domain first.
+    /// Returns the engine from which the chosen one fetches a shared prefix that it may lack: one
+    /// that computed it with the same weights, preferably in the same failure domain.
     ///
-    /// An engine that has the prompt fetches nothing, and one that lacks it gets it in a fraction
-    /// of the time of reading it. One that ends its work before it loads has its prompts until
-    /// then.
-    fn source(
+    /// An engine that has the prefix fetches nothing, and one that lacks it gets it in a fraction
+    /// of the time of its prefill. An engine that finishes its requests before it loads new weights
+    /// keeps its prefixes until then.
+    fn fetch_source(
         &self,
         now: Instant,
         fleet: &Fleet,
@@ -514,53 +543,54 @@
         chosen: &Upstream,
         prefix: &PrefixKey,
     ) -> Option<SocketAddr> {
-        let holds = |id: &&str| {
+        let as_source = |id: &&str| {
             let upstream = fleet.upstreams.iter().find(|upstream| upstream.id == *id)?;
             let model = demand.model.as_ref()?;
-            let fits = upstream.id != chosen.id
+            let is_source = upstream.id != chosen.id
                 && upstream.service == chosen.service
                 && upstream.standing != upstream::Standing::Leaving
                 && self.weights(upstream, model) == prefix.weights
                 && self.is_usable(now, id);
-            fits.then_some(upstream)
+            is_source.then_some(upstream)
         };
         let engines = self.prefix_index.engines(now, prefix);
-        let cached_prefix: Vec<&Upstream> = engines.iter().filter_map(holds).collect();
-        let same_domain = cached_prefix
+        let sources: Vec<&Upstream> = engines.iter().filter_map(as_source).collect();
+        let same_domain = sources
             .iter()
             .find(|upstream| upstream.domain == chosen.domain);
-        let best = same_domain.or(cached_prefix.first());
-        best.map(|upstream| upstream.address)
+        let source = same_domain.or(sources.first());
+        source.map(|upstream| upstream.address)
     }
 }
 
-/// Counts the tokens that an engine would read for a request, those that it would fetch from
-/// another as the reading that takes as long.
-fn reading_tokens(demand: &Demand, cached: Cached) -> u64 {
-    let shared = demand
+/// Returns the tokens that an engine would have to prefill for a request; tokens that it would
+/// fetch from another engine count as the prefill that takes as long.
+fn prefill_tokens(demand: &Demand, availability: PrefixAvailability) -> u64 {
+    let shared_tokens = demand
         .shared_prefix
         .as_ref()
         .map_or(0, |(_, tokens)| *tokens);
-    let own = demand.prompt_tokens.saturating_sub(shared);
-    match cached {
-        Cached::Elsewhere => own + shared / FETCH_DIVISOR,
-        Cached::Here => own,
-        Cached::Nowhere => demand.prompt_tokens,
+    let own = demand.prompt_tokens.saturating_sub(shared_tokens);
+    match availability {
+        PrefixAvailability::Elsewhere => own + shared_tokens / FETCH_DIVISOR,
+        PrefixAvailability::Here => own,
+        PrefixAvailability::Nowhere => demand.prompt_tokens,
     }
 }
 
-/// Returns whether a long prompt fits into a candidate's memory beside those under way; an engine
-/// that holds more puts answers back and drops the prompts that later requests share.
+/// Returns whether a long prompt fits into a candidate's memory beside those in flight. An engine
+/// with more of them preempts running answers and evicts prefixes that later requests share.
 fn fits(candidate: &Candidate, demand: &Demand) -> bool {
-    let held = candidate.long_prompt_tokens;
-    let most = |memory: u64| memory * LONG_PERCENT / 100;
-    held == 0
+    let in_flight_tokens = candidate.long_prompt_tokens;
+    let limit = |memory: u64| memory * LONG_PROMPT_MEMORY_PERCENT / 100;
+    in_flight_tokens == 0
         || demand
             .memory_tokens
-            .is_none_or(|memory| held + demand.prompt_tokens <= most(memory))
+            .is_none_or(|memory| in_flight_tokens + demand.prompt_tokens <= limit(memory))
 }
 
-/// Returns whether an answer that a candidate makes is expected to begin in time.
+/// Returns whether the answer of a candidate is expected to begin in time.
 fn begins_in_time(candidate: &Candidate, demand: &Demand) -> bool {
-    candidate.backlog_ms + candidate.prefill_ms + FIRST_MS <= demand.first_byte_left_ms
+    candidate.backlog_ms + candidate.prefill_ms + FIRST_BYTE_AFTER_PREFILL_MS
+        <= demand.first_byte_left_ms
 }
--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -1,8 +1,8 @@
 //! Which broker owns which upstreams, and which broker places a request.
 //!
 //! Upstreams are grouped into shards of up to [`UPSTREAMS_PER_SHARD`], so that a broker has many to
-//! choose from: a small fleet has one shard, and cost per broker stays level as a fleet grows. Each host
-//! works all of it out from its own view and table.
+//! choose from: a small fleet has one shard, and cost per broker stays level as a fleet grows. Each
+//! host works all of it out from its own view and table.
 
 use std::collections::BTreeSet;
 
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Long prompts that many hosts place at the same moment, with and without a host that assigns.
+//! Tests of long prompts that many hosts place at once, with and without assignment by the leader.
 
 mod upstream_fixtures;
 
@@ -35,15 +35,15 @@
     }
 }
 
-fn ask(prefix_id: impl Into<String>) -> Request {
+fn request(prefix_id: impl Into<String>) -> Request {
     Request {
         unusable: Vec::new(),
         demand: demand(prefix_id),
     }
 }
 
-/// Counts the prompts of the engine that got most.
-fn most(chosen: &[String]) -> usize {
+/// Returns the number of prompts of the engine that got the most.
+fn most_at_one_engine(chosen: &[String]) -> usize {
     let mut counts: BTreeMap<&String, usize> = BTreeMap::new();
     for id in chosen {
         *counts.entry(id).or_default() += 1;
@@ -52,16 +52,19 @@
 }
 
 #[test]
-fn prompts_that_come_at_once_through_many_hosts_get_engines_of_their_own() {
+fn simultaneous_prompts_of_many_hosts_are_assigned_distinct_engines() {
     let fleet = engines(ENGINES);
-    let apart: Vec<String> = (0..PROMPTS)
+    let unassigned: Vec<String> = (0..PROMPTS)
         .map(|n| {
             let mut host = Dispatcher::new(n as u64);
             let choice = host.choose(Instant(0), &fleet, &demand(format!("p{n}")));
             choice.unwrap().upstream.id
         })
         .collect();
-    assert!(most(&apart) > 1, "hosts that choose apart collide");
+    assert!(
+        most_at_one_engine(&unassigned) > 1,
+        "hosts that choose on their own collide"
+    );
     let mut assigner = Assigner::new(0);
     let assigned: Vec<String> = (0..PROMPTS)
         .map(|n| {
@@ -69,15 +72,15 @@
                 Instant(0),
                 &fleet,
                 &UpstreamLoads::new(),
-                ask(format!("p{n}")),
+                request(format!("p{n}")),
             );
             choice.unwrap().upstream.id
         })
         .collect();
-    assert_eq!(most(&assigned), 1);
+    assert_eq!(most_at_one_engine(&assigned), 1);
 }
 
-/// Notes an assigned prompt at its host and returns the host's report.
+/// Records an assigned prompt at its host and returns what the host reports then.
 fn report(
     host: &mut Dispatcher,
     now: Instant,
@@ -96,7 +99,7 @@
         LoadAggregator::default(),
         Dispatcher::new(1),
     );
-    let first = ask("p");
+    let first = request("p");
     let choice = assigner.assign(Instant(0), &fleet, tally.total(), first.clone());
     let choice = choice.unwrap();
     assert_eq!(choice.backlog_ms, 0);
@@ -124,33 +127,33 @@
 }
 
 #[test]
-fn an_assignment_of_a_host_that_never_reports_it_is_forgotten() {
+fn an_assignment_that_is_never_reported_expires() {
     let fleet = fleet(&[("e", 1)]);
     let mut assigner = Assigner::new(0);
     let _ = assigner
-        .assign(Instant(0), &fleet, &UpstreamLoads::new(), ask("p"))
+        .assign(Instant(0), &fleet, &UpstreamLoads::new(), request("p"))
         .unwrap();
-    let soon = assigner.assign(Instant(1_000), &fleet, &UpstreamLoads::new(), ask("q"));
+    let soon = assigner.assign(Instant(1_000), &fleet, &UpstreamLoads::new(), request("q"));
     assert_eq!(soon, Err(Refusal::Busy));
-    let later = assigner.assign(Instant(1_001), &fleet, &UpstreamLoads::new(), ask("q"));
+    let later = assigner.assign(Instant(1_001), &fleet, &UpstreamLoads::new(), request("q"));
     assert_eq!(later.unwrap().backlog_ms, 0);
 }
 
 #[test]
-fn an_engine_that_a_host_avoids_is_not_assigned_to_it() {
+fn an_engine_that_a_host_cannot_use_is_not_assigned_to_it() {
     let fleet = fleet(&[("e", 1), ("f", 1)]);
     for unusable in ["e", "f"] {
-        let ask = Request {
+        let request = Request {
             unusable: vec![unusable.to_owned()],
             demand: demand("p"),
         };
-        let choice = Assigner::new(0).assign(Instant(0), &fleet, &UpstreamLoads::new(), ask);
+        let choice = Assigner::new(0).assign(Instant(0), &fleet, &UpstreamLoads::new(), request);
         assert_ne!(choice.unwrap().upstream.id, unusable);
     }
 }
 
 #[test]
-fn a_prompt_that_an_engine_has_read_is_fetched_from_it_once_a_host_has_told_so() {
+fn a_prefix_is_fetched_from_the_engine_that_a_host_reported_for_it() {
     let fleet = fleet(&[("e", 1), ("f", 1)]);
     let mut assigner = Assigner::new(0);
     let prefix = demand("p").prefix_key(1).unwrap();
@@ -158,29 +161,29 @@
     assigner.record_report(Instant(0), &[], &[CachedPrefix { location, prefix }]);
     let loads = UpstreamLoads::from([("e".to_owned(), pending_prefill(40_000))]);
     let choice = assigner
-        .assign(Instant(1), &fleet, &loads, ask("p"))
+        .assign(Instant(1), &fleet, &loads, request("p"))
         .unwrap();
     assert_eq!(choice.upstream.id, "f");
     assert_eq!(choice.fetch_from, Some(upstream_fixtures::address("e")));
 }
 
 #[test]
-fn a_host_tells_a_new_leader_what_it_has_told_the_one_before() {
+fn a_host_sends_a_new_leader_the_prefixes_that_it_sent_the_previous_one() {
     let fleet = fleet(&[("e", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = demand("p");
     let choice = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.record_sent(Instant(0), &choice, &demand);
-    host.record_prefill(Instant(500), &mut run);
-    let told = host.take_prefix_updates(Instant(600));
-    assert_eq!(told.len(), 1);
+    let mut in_flight = host.record_sent(Instant(0), &choice, &demand);
+    host.record_prefill(Instant(500), &mut in_flight);
+    let sent = host.take_prefix_updates(Instant(600));
+    assert_eq!(sent.len(), 1);
     assert_eq!(host.take_prefix_updates(Instant(700)), []);
     host.resend_prefix_updates(Instant(800));
-    assert_eq!(host.take_prefix_updates(Instant(800)), told);
+    assert_eq!(host.take_prefix_updates(Instant(800)), sent);
     host.resend_prefix_updates(Instant(10_801));
     assert_eq!(
         host.take_prefix_updates(Instant(10_801)),
         [],
-        "it is too old to count"
+        "it has expired"
     );
 }
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where routed requests go, under the loads that decide it.
+//! Tests of which upstream a routed request goes to, under the loads that decide it.
 
 mod upstream_fixtures;
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn hosts_that_know_nothing_of_each_other_send_a_prompt_to_one_engine() {
+fn hosts_without_shared_state_choose_the_same_engine_for_a_prefix() {
     let fleet = fleet(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
     for prompt in ["p1", "p2", "p3", "p4", "p5"] {
         let chosen: BTreeSet<String> = (0..8)
@@ -69,18 +69,22 @@
 }
 
 #[test]
-fn a_prompt_moves_on_while_its_engine_has_much_to_read_and_is_fetched_from_it() {
+fn a_prompt_avoids_its_engine_while_that_is_loaded_and_fetches_the_prefix_from_it() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.record_sent(Instant(0), &first, &demand);
+    let mut in_flight = host.record_sent(Instant(0), &first, &demand);
     let others = BTreeMap::from([(first.upstream.id.clone(), pending_prefill(50_000))]);
     host.set_other_loads(Instant(1), others.clone());
     let early = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&early));
-    assert_eq!(early.fetch_from, Some(address(STORE)), "it is not read yet");
-    host.record_prefill(Instant(300), &mut run);
+    assert_eq!(
+        early.fetch_from,
+        Some(address(STORE)),
+        "its prefill is not over"
+    );
+    host.record_prefill(Instant(300), &mut in_flight);
     let later = host.choose(Instant(301), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&later));
     assert_eq!(later.fetch_from, Some(first.upstream.address));
@@ -93,14 +97,14 @@
 }
 
 #[test]
-fn a_prompt_is_not_fetched_from_a_silent_engine() {
+fn a_prefix_is_not_fetched_from_an_unresponsive_engine() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.record_sent(Instant(0), &first, &demand);
-    host.record_answer_head(Instant(300), &mut run);
-    host.record_prefill(Instant(300), &mut run);
+    let mut in_flight = host.record_sent(Instant(0), &first, &demand);
+    host.record_answer_head(Instant(300), &mut in_flight);
+    host.record_prefill(Instant(300), &mut in_flight);
     let _ = host.record_sent(Instant(300), &first, &short(0));
     let next = host.choose(Instant(2_000), &fleet, &demand).unwrap();
     assert_ne!(id(&first), id(&next));
@@ -108,7 +112,7 @@
 }
 
 #[test]
-fn a_single_request_at_a_busy_engine_is_left_there_while_other_hosts_hear_the_engine() {
+fn a_busy_engine_is_not_unresponsive_while_other_hosts_get_bytes_from_it() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut alone = Dispatcher::new(0);
     let mut told = Dispatcher::new(0);
@@ -120,8 +124,8 @@
         host.set_other_loads(Instant(0), BTreeMap::from([(id(&choice).to_owned(), busy)]));
         host.record_sent(Instant(0), &choice, &demand)
     });
-    // What is ahead and the prompt itself take 0.8 s; the engine takes twice that and answers
-    // other hosts meanwhile.
+    // The backlog and the prompt itself take 0.8 s; the engine takes twice that and answers other
+    // hosts in the meantime.
     for at in (100..=2_600).step_by(100) {
         let last_byte_age_ms = Some(60);
         let heard = UpstreamLoad {
@@ -138,13 +142,13 @@
 }
 
 #[test]
-fn a_prompt_is_fetched_from_an_engine_that_ends_its_work_but_not_once_it_has_other_weights() {
+fn a_prefix_is_fetched_from_a_loading_engine_only_until_its_weights_change() {
     let mut fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.record_sent(Instant(0), &first, &demand);
-    host.record_prefill(Instant(300), &mut run);
+    let mut in_flight = host.record_sent(Instant(0), &first, &demand);
+    host.record_prefill(Instant(300), &mut in_flight);
     let place = fleet.upstreams.iter().position(|u| u.id == id(&first));
     let place = place.unwrap();
     for (standing, weights, fetch) in [
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn short_prompts_stay_where_connections_are_open_until_answers_begin_sooner_elsewhere() {
+fn short_prompts_prefer_connected_engines_unless_the_backlog_there_is_much_longer() {
     let fleet = engines(60);
     let open = ["e3", "e30", "e57"];
     let demand = |random| Demand {
@@ -171,20 +175,24 @@
         first_byte_left_ms: 2_500,
         ..short(random)
     };
-    for (ahead, stays) in [(0, true), (5_000, true), (6_000, false)] {
+    for (backlog_tokens, stays) in [(0, true), (5_000, true), (6_000, false)] {
         let mut host = Dispatcher::new(0);
-        let busy = open.map(|id| (id.to_owned(), pending_prefill(ahead)));
+        let busy = open.map(|id| (id.to_owned(), pending_prefill(backlog_tokens)));
         host.set_other_loads(Instant(0), BTreeMap::from(busy));
         for random in 0..200 {
             let random = u64::wrapping_mul(random, 0x9E37_79B9_7F4A_7C15);
             let choice = host.choose(Instant(1), &fleet, &demand(random)).unwrap();
-            assert_eq!(open.contains(&id(&choice)), stays, "{ahead} {random}");
+            assert_eq!(
+                open.contains(&id(&choice)),
+                stays,
+                "{backlog_tokens} {random}"
+            );
         }
     }
 }
 
 #[test]
-fn a_prompt_waits_while_all_engines_have_much_to_read() {
+fn a_long_prompt_is_refused_as_busy_while_all_engines_are_loaded() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut host = Dispatcher::new(0);
     let busy = ["a", "b"].map(|id| (id.to_owned(), pending_prefill(40_000)));
@@ -194,7 +202,7 @@
 }
 
 #[test]
-fn a_prompt_that_is_late_lets_those_in_time_go_first() {
+fn a_late_prompt_is_refused_where_a_prompt_in_time_is_taken() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(15_000))]);
@@ -208,7 +216,7 @@
 }
 
 #[test]
-fn late_prompts_leave_the_last_idle_engines_to_those_in_time() {
+fn late_prompts_leave_the_last_idle_engines_to_prompts_in_time() {
     let fleet = engines(10);
     let late = Demand {
         first_byte_left_ms: 0,
@@ -226,15 +234,15 @@
 }
 
 #[test]
-fn a_prompt_that_is_read_somewhere_bears_a_longer_queue_than_one_that_is_not() {
+fn a_cached_prompt_tolerates_a_longer_backlog_than_an_uncached_one() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = long("p");
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.record_sent(Instant(0), &first, &demand);
-    host.record_answer_head(Instant(300), &mut run);
-    host.record_prefill(Instant(300), &mut run);
-    host.record_end(&run);
+    let mut in_flight = host.record_sent(Instant(0), &first, &demand);
+    host.record_answer_head(Instant(300), &mut in_flight);
+    host.record_prefill(Instant(300), &mut in_flight);
+    host.record_end(&in_flight);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(30_000))]);
     host.set_other_loads(Instant(300), busy);
     assert_matches!(host.choose(Instant(301), &fleet, &demand), Ok(_));
@@ -243,7 +251,7 @@
 }
 
 #[test]
-fn a_prompt_stays_where_it_was_read_while_it_begins_there_in_time() {
+fn a_prompt_stays_at_the_engine_that_caches_it_while_it_begins_there_in_time() {
     let fleet = engines(12);
     let mut host = Dispatcher::new(0);
     let demand = long("p");
@@ -252,22 +260,26 @@
     host.set_other_loads(Instant(1), busy);
     let reader = host.choose(Instant(2), &fleet, &demand).unwrap();
     assert_ne!(id(&reader), id(&ranked));
-    let mut run = host.record_sent(Instant(2), &reader, &demand);
-    host.record_answer_head(Instant(400), &mut run);
-    host.record_prefill(Instant(400), &mut run);
-    host.record_end(&run);
+    let mut in_flight = host.record_sent(Instant(2), &reader, &demand);
+    host.record_answer_head(Instant(400), &mut in_flight);
+    host.record_prefill(Instant(400), &mut in_flight);
+    host.record_end(&in_flight);
     host.set_other_loads(Instant(401), BTreeMap::new());
     let again = host.choose(Instant(402), &fleet, &demand).unwrap();
-    assert_eq!(id(&again), id(&reader), "it has the prompt");
+    assert_eq!(id(&again), id(&reader), "it has the prefix cached");
     let busy = BTreeMap::from([(id(&reader).to_owned(), pending_prefill(50_000))]);
     host.set_other_loads(Instant(403), busy);
     let late = host.choose(Instant(404), &fleet, &demand).unwrap();
-    assert_eq!(id(&late), id(&ranked), "it would be late where it was read");
+    assert_eq!(
+        id(&late),
+        id(&ranked),
+        "it would be late at the engine that has the prefix"
+    );
     assert_eq!(late.fetch_from, Some(reader.upstream.address));
 }
 
-/// Fills the engines to which a host sends a prompt one by one until it sends it nowhere.
-fn filled(seed: u64, fleet: &Fleet, prefix_id: &str) -> BTreeSet<String> {
+/// Loads each engine that a host chooses for a prefix until it chooses none, and returns them all.
+fn candidates(seed: u64, fleet: &Fleet, prefix_id: &str) -> BTreeSet<String> {
     let mut host = Dispatcher::new(seed);
     let mut loads = BTreeMap::new();
     while let Ok(choice) = host.choose(Instant(0), fleet, &long(prefix_id)) {
@@ -278,29 +290,29 @@
 }
 
 #[test]
-fn in_a_large_fleet_hosts_weigh_the_same_few_engines_for_a_prompt_and_others_for_another() {
+fn in_a_large_fleet_each_prefix_has_its_own_bounded_set_of_candidates() {
     let mut fleet = engines(600);
-    let first = filled(0, &fleet, "p");
+    let first = candidates(0, &fleet, "p");
     assert_eq!(first.len(), 140);
-    assert_eq!(filled(1, &fleet, "p"), first);
-    let both = filled(0, &fleet, "q").intersection(&first).count();
+    assert_eq!(candidates(1, &fleet, "p"), first);
+    let both = candidates(0, &fleet, "q").intersection(&first).count();
     assert!(both < 70, "{both}");
     for upstream in &mut fleet.upstreams {
         if first.contains(&upstream.id) {
             upstream.standing = Standing::Leaving;
         }
     }
-    let next = filled(0, &fleet, "p");
+    let next = candidates(0, &fleet, "p");
     assert_eq!(
         next.len(),
         140,
-        "those that take no work make room for others"
+        "engines that take no work are replaced by others"
     );
     assert!(next.is_disjoint(&first));
 }
 
 #[test]
-fn a_prompt_too_long_to_be_in_time_goes_once_little_is_ahead_of_it() {
+fn a_prompt_too_long_to_begin_in_time_goes_to_an_idle_engine_only() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let huge = Demand {
@@ -315,7 +327,7 @@
 }
 
 #[test]
-fn long_prompts_in_time_are_read_before_short_ones_and_late_ones_after() {
+fn long_prompts_in_time_rank_before_short_ones_and_late_ones_after() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let late = Demand {
@@ -333,7 +345,7 @@
 }
 
 #[test]
-fn older_weights_in_time_come_before_the_newest_late() {
+fn older_weights_in_time_are_preferred_to_the_newest_too_late() {
     let fleet = fleet(&[("new", 2), ("old", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = Demand {
@@ -354,7 +366,7 @@
 }
 
 #[test]
-fn an_upstream_is_offered_only_where_it_would_be_chosen() {
+fn can_place_agrees_with_choose() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut host = Dispatcher::new(0);
     let moved = Demand {
@@ -373,7 +385,7 @@
 }
 
 #[test]
-fn what_cannot_begin_before_the_caller_leaves_is_refused_at_once() {
+fn a_request_that_cannot_begin_before_its_deadline_is_refused_at_once() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(200_000))]);
@@ -387,7 +399,7 @@
 }
 
 #[test]
-fn what_others_have_under_way_is_forgotten_when_nobody_tells_it_again() {
+fn loads_of_other_hosts_expire() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let busy = BTreeMap::from([("a".to_owned(), pending_prefill(40_000))]);
@@ -437,7 +449,7 @@
 }
 
 #[test]
-fn engines_that_load_or_leave_get_no_work() {
+fn loading_and_leaving_engines_get_no_requests() {
     let mut fleet = fleet(&[("a", 1), ("b", 1), ("c", 1)]);
     fleet.upstreams[0].standing = Standing::Leaving;
     fleet.upstreams[1].standing = Standing::Loading;
@@ -449,7 +461,7 @@
 }
 
 #[test]
-fn a_shared_prompt_goes_to_the_store_once_and_comes_from_there() {
+fn a_shared_prefix_is_saved_to_the_store_once_and_fetched_from_there() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let first = host.choose(Instant(0), &fleet, &long("p")).unwrap();
@@ -466,7 +478,7 @@
 }
 
 #[test]
-fn a_prompt_is_not_fetched_from_an_engine_that_had_it_under_other_weights() {
+fn a_prefix_is_not_fetched_from_an_engine_that_cached_it_with_other_weights() {
     let old = fleet(&[("a", 1), ("b", 1)]);
     let new = fleet(&[("a", 2), ("b", 2)]);
     let mut host = Dispatcher::new(0);
@@ -492,7 +504,7 @@
 }
 
 #[test]
-fn a_silent_engine_is_left_and_used_again_once_it_answers() {
+fn an_unresponsive_engine_is_avoided_until_it_answers() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = short(0);
@@ -501,13 +513,13 @@
         ..demand.clone()
     };
     let choice = host.choose(Instant(0), &fleet, &only_a).unwrap();
-    let mut run = host.record_sent(Instant(0), &choice, &demand);
+    let mut in_flight = host.record_sent(Instant(0), &choice, &demand);
     for random in 0..20 {
         let late = host.choose(Instant(2_000), &fleet, &short(random)).unwrap();
         assert_eq!(id(&late), "b");
     }
-    host.record_answer_head(Instant(2_001), &mut run);
-    host.record_end(&run);
+    host.record_answer_head(Instant(2_001), &mut in_flight);
+    host.record_end(&in_flight);
     let used: BTreeSet<String> = (0..20)
         .map(|random| {
             let choice = host.choose(Instant(2_002), &fleet, &short(random)).unwrap();
@@ -535,7 +547,7 @@
     let others = BTreeMap::from([(first.upstream.id.clone(), held(68_000))]);
     host.set_other_loads(Instant(1), others);
     let second = host.choose(Instant(2), &fleet, &demand).unwrap();
-    assert_eq!(id(&first), id(&second), "17,000 more make 85 in 100");
+    assert_eq!(id(&first), id(&second), "17,000 more make 85 percent");
     let others = BTreeMap::from([(first.upstream.id.clone(), held(68_001))]);
     host.set_other_loads(Instant(3), others);
     let third = host.choose(Instant(4), &fleet, &demand).unwrap();
@@ -545,11 +557,11 @@
     let refusal = host.choose(Instant(6), &fleet, &demand);
     assert_eq!(refusal, Err(Refusal::Busy));
     let unknown = host.choose(Instant(7), &fleet, &long("p"));
-    assert!(unknown.is_ok(), "no memory is stated");
+    assert!(unknown.is_ok(), "the size of the memory is unknown");
 }
 
 #[test]
-fn a_prompt_longer_than_that_goes_to_an_engine_that_has_no_other() {
+fn a_prompt_above_the_memory_share_goes_to_an_engine_without_other_long_prompts() {
     let fleet = fleet(&[("a", 1)]);
     let mut host = Dispatcher::new(0);
     let demand = Demand {
@@ -559,10 +571,10 @@
         ..long("p")
     };
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
-    let mut run = host.record_sent(Instant(0), &first, &demand);
+    let mut in_flight = host.record_sent(Instant(0), &first, &demand);
     let second = host.choose(Instant(1), &fleet, &demand);
     assert_eq!(second, Err(Refusal::Busy));
-    host.record_answer_head(Instant(2_000), &mut run);
-    host.record_end(&run);
+    host.record_answer_head(Instant(2_000), &mut in_flight);
+    host.record_end(&in_flight);
     assert!(host.choose(Instant(2_001), &fleet, &demand).is_ok());
 }
