--- a/crates/coordination/src/order.rs
+++ b/crates/coordination/src/order.rs
@@ -1,8 +1,8 @@
-//! Runs one order to a plain service at most once.
+//! Runs one order, a call to a plain service under an idempotency key, at most once.
 //!
-//! The intent is recorded by the voters before a byte leaves and the outcome after. An attempt may
-//! send only before its own deadline, which ends ahead of the ledger's hold, so that an attempt
-//! which stalled finds itself too late.
+//! The voters record the intent in the ledger before a byte is sent, and the outcome afterwards. An
+//! attempt may send only before its deadline, which ends before the ledger gives up waiting for the
+//! outcome, so that an attempt that stalled does not send after another one has started.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -20,93 +20,94 @@
 use state::ledger::Response;
 use state::time::Instant;
 
-/// Bounds one order.
+/// The limits of one order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
-    /// Bounds the connections that are tried.
-    pub connects: u32,
-    /// Gives how long the ledger waits for the outcome beyond the deadline, in milliseconds.
-    pub grace: u64,
-    /// Gives the first pause before the ledger is asked again, in milliseconds; it doubles.
-    pub pause: u64,
-    /// Bounds every pause, in milliseconds.
-    pub pause_limit: u64,
-    /// Gives how long the outcome is offered to the ledger, in milliseconds.
-    pub settle: u64,
+    /// Upper limit on the attempts to connect.
+    pub max_connects: u32,
+    /// Time for which the ledger waits for the outcome after the deadline, in milliseconds.
+    pub grace_ms: u64,
+    /// First delay before the ledger is asked again, in milliseconds; each further one is twice as
+    /// long.
+    pub first_delay_ms: u64,
+    /// Upper limit on each delay, in milliseconds.
+    pub max_delay_ms: u64,
+    /// Time for which recording the outcome is retried, in milliseconds.
+    pub settle_ms: u64,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            connects: 3,
-            grace: 10_000,
-            pause: 50,
-            pause_limit: 1_000,
-            settle: 5_000,
+            max_connects: 3,
+            grace_ms: 10_000,
+            first_delay_ms: 50,
+            max_delay_ms: 1_000,
+            settle_ms: 5_000,
         }
     }
 }
 
-/// Tells an order what happened.
+/// An event that an order handles.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// Reports an answer of the service.
+    /// The service answered.
     Answered {
-        /// Tells whether the service said that the call had no effect.
+        /// Whether the service said that the call had no effect.
         not_run: bool,
-        /// Holds the answer.
+        /// The answer.
         response: Response,
     },
-    /// Reports that the ledger's decision is not known.
+    /// The decision of the ledger is not known.
     BeginLost,
-    /// Reports the ledger's decision.
+    /// The ledger decided.
     Begun(Decision),
-    /// Reports that no connection was made, so that no byte left.
+    /// No connection was made, so that no byte was sent.
     ConnectFailed,
-    /// Reports a connection over which nothing has been sent.
+    /// A connection was made, and nothing has been sent over it.
     Connected,
-    /// Reports that the ledger may not have the outcome.
+    /// It is not known whether the ledger recorded the outcome.
     FinishLost,
-    /// Reports that the ledger has the outcome, or has settled the attempt otherwise.
+    /// The ledger recorded the outcome, or has settled the attempt otherwise.
     Finished,
-    /// Reports that no answer came although the call may have left.
+    /// No answer arrived, although the call may have been sent.
     SendFailed,
-    /// Reports that a pause is over.
-    Woken,
+    /// A delay is over.
+    WaitElapsed,
 }
 
-/// Tells what to do for an order.
+/// An action that the caller of [`Order::step`] must take.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Asks to record the intent.
+    /// Record the intent in the ledger.
     Begin(Intent),
-    /// Asks to connect to the service and to send nothing yet.
+    /// Connect to the service, and send nothing yet.
     Connect(Attempt),
-    /// Asks to record the outcome.
+    /// Record the outcome in the ledger.
     Finish(Report),
-    /// Asks to answer the caller; the order is over.
+    /// Answer the caller; the order is done.
     Reply(Reply),
-    /// Asks to send the call over the connection.
+    /// Send the call over the connection.
     Send(Attempt),
-    /// Asks to pause, in milliseconds.
+    /// Wait for this many milliseconds.
     Wait(u64),
 }
 
-/// Answers the caller of an order.
+/// The reply to the caller of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// Holds the service's answer.
+    /// The service answered.
     Answer {
-        /// Tells whether the answer was given before.
+        /// Whether this is the stored answer of an earlier request with the same key.
         replayed: bool,
-        /// Holds the answer.
+        /// The answer.
         response: Response,
     },
-    /// Refuses the order.
+    /// The order was refused.
     Refused(Refusal),
 }
 
-/// Tells why an order is refused.
+/// The reason why an order was refused.
 #[derive(
     Clone,
     Copy,
@@ -123,29 +124,29 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Refusal {
-    /// Means that the service said that it did not run the order.
+    /// The service said that it did not run the order.
     Declined,
-    /// Means that the deadline passed before a byte left.
+    /// The deadline passed before a byte was sent.
     Late,
-    /// Means that the ledger is full; the order did not run.
+    /// The ledger is full; the order did not run.
     LedgerFull,
-    /// Means that the ledger did not decide in time, and an earlier request may have run the order.
+    /// The ledger did not decide in time; an earlier request may have run the order.
     LedgerLost,
-    /// Means that the key stands for another body; this one did not run.
+    /// The idempotency key was used for another body; this one did not run.
     Mismatch,
-    /// Means that the key is too old to tell what became of it.
+    /// The idempotency key is so old that its outcome is no longer known.
     Old,
-    /// Means that another request is running the order.
+    /// Another request is running the order.
     Running,
-    /// Means that the order may have run.
+    /// The order may have run.
     Unknown,
-    /// Means that the service took no connection.
+    /// No connection to the service could be made.
     Unreachable,
 }
 
 impl Refusal {
     /// Returns whether the order certainly had not run when it was refused, neither for this
-    /// request nor for any before.
+    /// request nor for an earlier one.
     pub fn is_not_run(self) -> bool {
         match self {
             Self::Declined | Self::Late | Self::LedgerFull | Self::Mismatch | Self::Unreachable => {
@@ -156,36 +157,37 @@
     }
 }
 
-/// Runs one order.
+/// The state machine that runs one order.
 #[derive(Clone, Debug)]
 pub struct Order {
     deadline: Instant,
     intent: Intent,
-    pauses: u32,
+    delays: u32,
     policy: Policy,
     stage: Stage,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
-    Asking,
+    Beginning,
     Connecting { attempt: Attempt, tries: u32 },
     Done,
-    Pausing,
+    Retrying,
     Sending { attempt: Attempt },
     Settling(Settling),
 }
 
 #[derive(Clone, Debug)]
 struct Settling {
-    paused: bool,
+    waiting: bool,
     reply: Reply,
     report: Report,
     until: Instant,
 }
 
 impl Order {
-    /// Returns the order and what to do first; `intent_id` identifies this request.
+    /// Returns the order and its first effect. `intent_id` must differ from that of every other
+    /// request for the same key.
     pub fn new(
         now: Instant,
         key: CallKey,
@@ -196,27 +198,28 @@
     ) -> (Self, Effect) {
         let intent = Intent {
             digest,
-            timeout_ms: deadline.since(now) + policy.grace,
+            timeout_ms: deadline.since(now) + policy.grace_ms,
             key,
             intent_id,
         };
         let order = Self {
             deadline,
             intent: intent.clone(),
-            pauses: 0,
+            delays: 0,
             policy,
-            stage: Stage::Asking,
+            stage: Stage::Beginning,
         };
         (order, Effect::Begin(intent))
     }
 
-    /// Takes the next event and returns what to do next, or `None` where the event comes too late.
+    /// Handles the next event and returns the next effect, or `None` if the order does not wait for
+    /// such an event.
     pub fn step(&mut self, now: Instant, event: Event) -> Option<Effect> {
         match (std::mem::replace(&mut self.stage, Stage::Done), event) {
-            (Stage::Asking, Event::Begun(decision)) => Some(self.decided(now, decision)),
-            (Stage::Asking, Event::BeginLost) => Some(self.ask_again(now, Refusal::LedgerLost)),
-            (Stage::Pausing, Event::Woken) => {
-                self.stage = Stage::Asking;
+            (Stage::Beginning, Event::Begun(decision)) => Some(self.on_decision(now, decision)),
+            (Stage::Beginning, Event::BeginLost) => Some(self.retry(now, Refusal::LedgerLost)),
+            (Stage::Retrying, Event::WaitElapsed) => {
+                self.stage = Stage::Beginning;
                 Some(Effect::Begin(self.intent.clone()))
             }
             (Stage::Connecting { attempt, .. }, Event::Connected) => {
@@ -230,7 +233,7 @@
                 if now >= self.deadline {
                     return Some(self.settle_refused(now, attempt, Refusal::Late));
                 }
-                if tries >= self.policy.connects {
+                if tries >= self.policy.max_connects {
                     return Some(self.settle_refused(now, attempt, Refusal::Unreachable));
                 }
                 let tries = tries + 1;
@@ -251,7 +254,7 @@
                 let reply = Reply::Refused(Refusal::Unknown);
                 Some(self.settle(now, attempt, Outcome::Unknown, reply))
             }
-            (Stage::Settling(settling), event) => self.settling(now, settling, &event),
+            (Stage::Settling(settling), event) => self.step_settling(now, settling, &event),
             (stage, _) => {
                 self.stage = stage;
                 None
@@ -264,16 +267,16 @@
         matches!(self.stage, Stage::Done)
     }
 
-    fn ask_again(&mut self, now: Instant, refusal: Refusal) -> Effect {
-        let pause = self.pause();
-        if now + pause >= self.deadline {
+    fn retry(&mut self, now: Instant, refusal: Refusal) -> Effect {
+        let delay_ms = self.next_delay_ms();
+        if now + delay_ms >= self.deadline {
             return Effect::Reply(Reply::Refused(refusal));
         }
-        self.stage = Stage::Pausing;
-        Effect::Wait(pause)
+        self.stage = Stage::Retrying;
+        Effect::Wait(delay_ms)
     }
 
-    fn decided(&mut self, now: Instant, decision: Decision) -> Effect {
+    fn on_decision(&mut self, now: Instant, decision: Decision) -> Effect {
         let refused = |refusal| Effect::Reply(Reply::Refused(refusal));
         match decision {
             Decision::Expired => refused(Refusal::Old),
@@ -291,17 +294,17 @@
                 Effect::Connect(attempt)
             }
             Decision::Running(_) | Decision::Stale => {
-                self.intent.intent_id = renewed(self.intent.intent_id);
-                self.ask_again(now, Refusal::Running)
+                self.intent.intent_id = next_intent_id(self.intent.intent_id);
+                self.retry(now, Refusal::Running)
             }
             Decision::Unknown => refused(Refusal::Unknown),
         }
     }
 
-    fn pause(&mut self) -> u64 {
-        let doubled = self.policy.pause << self.pauses.min(16);
-        self.pauses += 1;
-        doubled.min(self.policy.pause_limit)
+    fn next_delay_ms(&mut self) -> u64 {
+        let doubled = self.policy.first_delay_ms << self.delays.min(16);
+        self.delays += 1;
+        doubled.min(self.policy.max_delay_ms)
     }
 
     fn settle(&mut self, now: Instant, attempt: Attempt, outcome: Outcome, reply: Reply) -> Effect {
@@ -311,10 +314,10 @@
             outcome,
         };
         self.stage = Stage::Settling(Settling {
-            paused: false,
+            waiting: false,
             reply,
             report: report.clone(),
-            until: now + self.policy.settle,
+            until: now + self.policy.settle_ms,
         });
         Effect::Finish(report)
     }
@@ -324,18 +327,23 @@
         self.settle(now, attempt, Outcome::NotRun, reply)
     }
 
-    fn settling(&mut self, now: Instant, mut settling: Settling, event: &Event) -> Option<Effect> {
+    fn step_settling(
+        &mut self,
+        now: Instant,
+        mut settling: Settling,
+        event: &Event,
+    ) -> Option<Effect> {
         match event {
-            Event::FinishLost if !settling.paused && now < settling.until => {
-                settling.paused = true;
+            Event::FinishLost if !settling.waiting && now < settling.until => {
+                settling.waiting = true;
                 self.stage = Stage::Settling(settling);
-                Some(Effect::Wait(self.pause()))
+                Some(Effect::Wait(self.next_delay_ms()))
             }
-            Event::Finished | Event::FinishLost if !settling.paused => {
+            Event::Finished | Event::FinishLost if !settling.waiting => {
                 Some(Effect::Reply(settling.reply))
             }
-            Event::Woken if settling.paused => {
-                settling.paused = false;
+            Event::WaitElapsed if settling.waiting => {
+                settling.waiting = false;
                 let report = settling.report.clone();
                 self.stage = Stage::Settling(settling);
                 Some(Effect::Finish(report))
@@ -348,9 +356,9 @@
     }
 }
 
-/// Returns the name of the asking after the one named `owner`.
-fn renewed(owner: u128) -> u128 {
-    let digest = Digest::of(&[&owner.to_le_bytes()]);
+/// Derives the ID of the next intent from that of the last one.
+fn next_intent_id(previous: u128) -> u128 {
+    let digest = Digest::of(&[&previous.to_le_bytes()]);
     let mut bytes = [0; 16];
     bytes.copy_from_slice(&digest.0[..16]);
     u128::from_le_bytes(bytes)
--- a/crates/coordination/tests/order.rs
+++ b/crates/coordination/tests/order.rs
@@ -1,4 +1,4 @@
-//! Checks that an order runs at most once, whatever happens at whichever step.
+//! Checks that an order runs at most once, whichever step fails.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 
 const NOW: Instant = Instant(1_000);
 const DEADLINE: Instant = Instant(11_000);
-const A: Attempt = Attempt(1);
+const ATTEMPT: Attempt = Attempt(1);
 
 fn key() -> CallKey {
     CallKey {
@@ -53,7 +53,7 @@
 }
 
 fn begun() -> Event {
-    Event::Begun(Decision::Run(A))
+    Event::Begun(Decision::Run(ATTEMPT))
 }
 
 fn answered(not_run: bool) -> Event {
@@ -63,7 +63,7 @@
 
 fn finish(outcome: Outcome) -> Effect {
     Effect::Finish(Report {
-        attempt: A,
+        attempt: ATTEMPT,
         key: key(),
         outcome,
     })
@@ -74,10 +74,13 @@
 }
 
 #[test]
-fn an_order_is_recorded_sent_settled_and_answered_in_this_order() {
+fn an_order_is_recorded_then_sent_then_settled_then_answered() {
     let mut order = order();
-    assert_eq!(run(&mut order, NOW, [begun()]), Effect::Connect(A));
-    assert_eq!(run(&mut order, NOW, [Event::Connected]), Effect::Send(A));
+    assert_eq!(run(&mut order, NOW, [begun()]), Effect::Connect(ATTEMPT));
+    assert_eq!(
+        run(&mut order, NOW, [Event::Connected]),
+        Effect::Send(ATTEMPT)
+    );
     let settled = finish(Outcome::Done(response()));
     assert_eq!(run(&mut order, NOW, [answered(false)]), settled);
     let reply = Effect::Reply(Reply::Answer {
@@ -89,8 +92,8 @@
 }
 
 #[test]
-fn each_refusal_is_reached() {
-    let lost = Policy::default().settle;
+fn each_refusal_occurs() {
+    let settle_ms = Policy::default().settle_ms;
     for refusal in Refusal::iter() {
         let mut order = order();
         let (now, events) = match refusal {
@@ -103,7 +106,7 @@
             Refusal::LedgerLost => (DEADLINE, vec![Event::BeginLost]),
             Refusal::Mismatch => (NOW, vec![Event::Begun(Decision::Mismatch)]),
             Refusal::Old => (NOW, vec![Event::Begun(Decision::Expired)]),
-            Refusal::Running => (DEADLINE, vec![Event::Begun(Decision::Running(A))]),
+            Refusal::Running => (DEADLINE, vec![Event::Begun(Decision::Running(ATTEMPT))]),
             Refusal::Unknown => (NOW, vec![Event::Begun(Decision::Unknown)]),
             Refusal::Unreachable => {
                 let mut events = vec![begun()];
@@ -117,12 +120,12 @@
     let mut order = order();
     let events = [begun(), Event::Connected, Event::SendFailed];
     assert_eq!(run(&mut order, NOW, events), finish(Outcome::Unknown));
-    let late = run(&mut order, NOW + lost, [Event::FinishLost]);
+    let late = run(&mut order, NOW + settle_ms, [Event::FinishLost]);
     assert_eq!(late, refused(Refusal::Unknown));
 }
 
 #[test]
-fn a_repeat_gets_the_first_answer() {
+fn a_repeated_order_gets_the_stored_answer() {
     let replay = Event::Begun(Decision::Replay(response()));
     let reply = Effect::Reply(Reply::Answer {
         replayed: true,
@@ -132,7 +135,7 @@
 }
 
 #[test]
-fn an_attempt_that_stalled_after_connecting_sends_nothing() {
+fn an_attempt_that_stalls_after_connecting_until_its_deadline_sends_nothing() {
     let mut order = order();
     run(&mut order, NOW, [begun()]);
     let woken = run(&mut order, DEADLINE, [Event::Connected]);
@@ -144,23 +147,23 @@
 }
 
 #[test]
-fn a_lost_decision_is_asked_for_again_under_the_same_name() {
+fn a_lost_decision_is_requested_again_with_the_same_intent() {
     let (mut order, first) =
         Order::new(NOW, key(), Digest([0; 32]), 1, DEADLINE, Policy::default());
     assert_eq!(
         run(&mut order, NOW, [Event::BeginLost]),
-        Effect::Wait(Policy::default().pause)
+        Effect::Wait(Policy::default().first_delay_ms)
     );
-    assert_eq!(run(&mut order, NOW, [Event::Woken]), first);
+    assert_eq!(run(&mut order, NOW, [Event::WaitElapsed]), first);
 }
 
 #[test]
-fn a_lost_settlement_is_offered_again_and_does_not_change_the_answer() {
+fn a_lost_settlement_is_sent_again_and_does_not_change_the_answer() {
     let mut order = order();
     run(&mut order, NOW, [begun(), Event::Connected]);
     let settled = run(&mut order, NOW, [answered(false)]);
     assert_eq!(run(&mut order, NOW, [Event::FinishLost]), Effect::Wait(50));
-    assert_eq!(run(&mut order, NOW, [Event::Woken]), settled);
+    assert_eq!(run(&mut order, NOW, [Event::WaitElapsed]), settled);
     let reply = Effect::Reply(Reply::Answer {
         replayed: false,
         response: response(),
@@ -169,78 +172,78 @@
 }
 
 #[test]
-fn an_event_out_of_turn_changes_nothing() {
+fn an_event_that_the_order_does_not_wait_for_changes_nothing() {
     let mut order = order();
     assert_eq!(order.step(NOW, Event::Connected), None);
     assert_eq!(order.step(NOW, answered(false)), None);
-    assert_eq!(run(&mut order, NOW, [begun()]), Effect::Connect(A));
+    assert_eq!(run(&mut order, NOW, [begun()]), Effect::Connect(ATTEMPT));
     assert_eq!(order.step(NOW, begun()), None);
 }
 
-/// Runs several askers of one order against one ledger, in an order that `moves` picks.
+/// Simulates several requests for one order against one ledger, interleaved as the test chooses.
 #[derive(Default)]
-struct World {
-    askers: BTreeMap<usize, Asker>,
-    askings: u128,
+struct Simulation {
+    requesters: BTreeMap<usize, Requester>,
+    intents: u128,
     ledger: Ledger,
-    lies: u64,
+    false_not_run: u64,
     now: u64,
     sent: u64,
 }
 
-struct Asker {
+struct Requester {
     effect: Effect,
     order: Order,
-    unsent: bool,
+    unsent_before: bool,
 }
 
-impl World {
-    fn step(&mut self, who: usize, luck: u8, pause: u64) {
+impl Simulation {
+    fn step(&mut self, requester_index: usize, fault: u8, pause: u64) {
         self.now += pause;
         let now = Instant(self.now);
-        let askings = &mut self.askings;
-        let asker = self.askers.entry(who).or_insert_with(|| {
+        let intents = &mut self.intents;
+        let requester = self.requesters.entry(requester_index).or_insert_with(|| {
             let deadline = now + 2_000;
-            *askings += 1;
-            let owner = *askings;
+            *intents += 1;
+            let intent_id = *intents;
             let digest = Digest([0; 32]);
-            let made = Order::new(now, key(), digest, owner, deadline, Policy::default());
-            Asker {
-                effect: made.1,
-                order: made.0,
-                unsent: true,
+            let created = Order::new(now, key(), digest, intent_id, deadline, Policy::default());
+            Requester {
+                effect: created.1,
+                order: created.0,
+                unsent_before: true,
             }
         });
-        let event = match &asker.effect {
+        let event = match &requester.effect {
             Effect::Begin(intent) => {
-                let lost_before = luck.is_multiple_of(5);
+                let lost_before = fault.is_multiple_of(5);
                 if lost_before {
                     Event::BeginLost
                 } else {
                     let decision = self.ledger.begin(self.now, intent);
-                    match luck.is_multiple_of(3) {
+                    match fault.is_multiple_of(3) {
                         false => Event::Begun(decision),
                         true => Event::BeginLost,
                     }
                 }
             }
-            Effect::Connect(_) if luck.is_multiple_of(3) => Event::ConnectFailed,
+            Effect::Connect(_) if fault.is_multiple_of(3) => Event::ConnectFailed,
             Effect::Connect(_) => Event::Connected,
-            Effect::Finish(_) if luck.is_multiple_of(5) => Event::FinishLost,
+            Effect::Finish(_) if fault.is_multiple_of(5) => Event::FinishLost,
             Effect::Finish(report) => {
                 self.ledger.finish(self.now, report);
-                match luck.is_multiple_of(3) {
+                match fault.is_multiple_of(3) {
                     false => Event::Finished,
                     true => Event::FinishLost,
                 }
             }
             Effect::Reply(reply) => {
                 let refused = matches!(reply, Reply::Refused(r) if r.is_not_run());
-                self.lies += u64::from(refused && !asker.unsent);
-                self.askers.remove(&who);
+                self.false_not_run += u64::from(refused && !requester.unsent_before);
+                self.requesters.remove(&requester_index);
                 return;
             }
-            Effect::Send(_) => match luck % 4 {
+            Effect::Send(_) => match fault % 4 {
                 0 => answered(true),
                 1 => Event::SendFailed,
                 2 => {
@@ -252,30 +255,30 @@
                     answered(false)
                 }
             },
-            Effect::Wait(_) => Event::Woken,
+            Effect::Wait(_) => Event::WaitElapsed,
         };
-        if let Some(effect) = asker.order.step(now, event) {
-            if !matches!(asker.effect, Effect::Finish(_) | Effect::Wait(_)) {
-                asker.unsent = self.sent == 0;
+        if let Some(effect) = requester.order.step(now, event) {
+            if !matches!(requester.effect, Effect::Finish(_) | Effect::Wait(_)) {
+                requester.unsent_before = self.sent == 0;
             }
-            asker.effect = effect;
+            requester.effect = effect;
         }
     }
 }
 
 proptest! {
     #[test]
-    fn no_interleaving_of_askers_crashes_and_losses_runs_an_order_twice(
+    fn no_interleaving_of_requests_crashes_and_losses_runs_an_order_twice(
         moves in vec((0_usize..3, any::<u8>(), 0_u64..400, any::<u8>()), 0..200),
     ) {
-        let mut world = World::default();
-        for (who, luck, pause, crash) in moves {
+        let mut simulation = Simulation::default();
+        for (requester_index, fault, pause, crash) in moves {
             if crash < 10 {
-                world.askers.remove(&who);
+                simulation.requesters.remove(&requester_index);
             }
-            world.step(who, luck, pause);
-            prop_assert!(world.sent <= 1, "ran {} times", world.sent);
-            prop_assert!(world.lies == 0, "said not run after a run");
+            simulation.step(requester_index, fault, pause);
+            prop_assert!(simulation.sent <= 1, "ran {} times", simulation.sent);
+            prop_assert!(simulation.false_not_run == 0, "refused as not run after a run");
         }
     }
 }
--- a/crates/hibiscushoistd/src/order.rs
+++ b/crates/hibiscushoistd/src/order.rs
@@ -90,10 +90,10 @@
                 Ok(_) => Event::Finished,
             },
             Effect::Send(_) => self.send().await,
-            Effect::Reply(_) => Event::Woken,
+            Effect::Reply(_) => Event::WaitElapsed,
             Effect::Wait(millis) => {
                 tokio::time::sleep(Duration::from_millis(millis)).await;
-                Event::Woken
+                Event::WaitElapsed
             }
         }
     }
