--- a/crates/coordination/tests/faults.rs
+++ b/crates/coordination/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Holds the fault tables: a row a fault, with what must come of it.
+//! Tables of faults of a Raft group, each with the outcome that must follow.
 
 mod raft_sim;
 
@@ -36,21 +36,23 @@
 use state::time::Instant;
 
 const EDITS: u64 = 40;
-const ELECTION_LIMIT: u64 = 2_000;
-const HOLD: u64 = 2_000;
-const REPAIR_LIMIT: u64 = 10_000;
+const ELECTION_LIMIT_MS: u64 = 2_000;
+const CALL_TIMEOUT_MS: u64 = 2_000;
+const REPAIR_LIMIT_MS: u64 = 10_000;
 const SEEDS: u64 = 20;
 
-/// Tells what must come of a fault: each row's edits are kept in any case.
+/// Outcome that must follow a fault; accepted edits are kept in any case.
 #[derive(Debug)]
 enum Expected {
-    /// The group accepts an edit within this time, while the fault lasts.
+    /// The group accepts an edit within this many milliseconds, while the fault lasts.
     Serves(u64),
-    /// The group accepts no edit while the fault lasts, and does within this time afterwards.
+    /// The group accepts no edit while the fault lasts, and accepts one within this many
+    /// milliseconds after the repair.
     Waits(u64),
 }
 
-struct Row {
+/// A fault, its repair and the outcome in between.
+struct FaultCase {
     expected: Expected,
     fault: fn(&mut Sim),
     name: &'static str,
@@ -74,45 +76,45 @@
     }
 }
 
-const ROWS: &[Row] = &[
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
+const FAULT_CASES: &[FaultCase] = &[
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
         fault: |sim| sim.crash(leader(sim)),
         name: "the leader crashes",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
         fault: |sim| sim.crash(follower(sim)),
         name: "a follower crashes",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
-        fault: |sim| sim.cut(leader(sim), true, true),
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        fault: |sim| sim.cut_links(leader(sim), true, true),
         name: "the leader is cut off",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
-        fault: |sim| sim.cut(leader(sim), true, false),
-        name: "the leader is not heard",
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        fault: |sim| sim.cut_links(leader(sim), true, false),
+        name: "the leader cannot send",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
-        fault: |sim| sim.cut(leader(sim), false, true),
-        name: "the leader does not hear",
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        fault: |sim| sim.cut_links(leader(sim), false, true),
+        name: "the leader cannot receive",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
-        fault: |sim| sim.cut(follower(sim), false, true),
-        name: "a follower does not hear and must not depose the leader",
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        fault: |sim| sim.cut_links(follower(sim), false, true),
+        name: "a follower cannot receive and must not depose the leader",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Waits(ELECTION_LIMIT),
+    FaultCase {
+        expected: Expected::Waits(ELECTION_LIMIT_MS),
         fault: |sim| {
             sim.crash(follower(sim));
             sim.crash(leader(sim));
@@ -120,43 +122,43 @@
         name: "two of three crash",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Waits(ELECTION_LIMIT),
+    FaultCase {
+        expected: Expected::Waits(ELECTION_LIMIT_MS),
         fault: |sim| (0..3).for_each(|host| sim.crash(host)),
         name: "all crash at once",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
         fault: |sim| sim.lose_disk(leader(sim)),
         name: "the leader's disk is lost and replaced by an empty one",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
         fault: |sim| {
             sim.lose_disk(follower(sim));
-            sim.until(REPAIR_LIMIT, Sim::whole);
+            sim.run_until(REPAIR_LIMIT_MS, Sim::has_recovered);
             sim.lose_disk(leader(sim));
         },
         name: "a second disk is lost right after the repair of the first",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(ELECTION_LIMIT),
+    FaultCase {
+        expected: Expected::Serves(ELECTION_LIMIT_MS),
         fault: |sim| {
             sim.lose_disk(follower(sim));
-            sim.until(REPAIR_LIMIT, Sim::whole);
+            sim.run_until(REPAIR_LIMIT_MS, Sim::has_recovered);
             sim.crash(leader(sim));
         },
         name: "the leader crashes right after the repair of a lost disk",
         repair: start_all,
     },
-    Row {
-        expected: Expected::Serves(REPAIR_LIMIT),
-        fault: |sim| sim.fault_rates = FaultRates::STORM,
-        name: "messages are lost, late and doubled, and disks are slow",
-        repair: |sim| sim.fault_rates = FaultRates::CALM,
+    FaultCase {
+        expected: Expected::Serves(REPAIR_LIMIT_MS),
+        fault: |sim| sim.fault_rates = FaultRates::HEAVY,
+        name: "messages are lost, late and duplicated, and disks are slow",
+        repair: |sim| sim.fault_rates = FaultRates::LIGHT,
     },
 ];
 
@@ -184,40 +186,43 @@
     Answer::Edit(Ok(Receipt { revision }))
 }
 
-fn group(seed: u64) -> Sim {
+/// Returns a group of three voters that has accepted all edits.
+fn group_with_edits(seed: u64) -> Sim {
     let mut sim = Sim::new(seed, 3, Flaw::None);
     for number in 0..EDITS {
-        assert_eq!(sim.ask(number + 1, &edit(number)), accepted(number + 1));
+        assert_eq!(sim.execute(number + 1, &edit(number)), accepted(number + 1));
     }
     sim
 }
 
+/// Guards against a group that stops serving under a tolerable fault, elects a leader without a
+/// majority, loses an accepted edit, or ends with members that differ.
 #[test]
-fn faults_of_the_group_have_their_stated_outcome() {
-    for row in ROWS {
+fn group_serves_or_waits_as_stated_and_keeps_accepted_edits_under_each_fault() {
+    for row in FAULT_CASES {
         for seed in 0..SEEDS {
-            let mut sim = group(seed);
+            let mut sim = group_with_edits(seed);
             (row.fault)(&mut sim);
-            let began = sim.now;
+            let start = sim.now;
             let limit = match row.expected {
                 Expected::Serves(limit) => limit,
                 Expected::Waits(limit) => {
-                    sim.run(ELECTION_LIMIT);
+                    sim.run(ELECTION_LIMIT_MS);
                     let leads = |host: &raft_sim::Host| {
                         let raft = host.raft.as_ref();
                         raft.is_some_and(|raft| raft.role() == Role::Leader)
                     };
                     assert!(!sim.hosts.iter().any(leads), "{}: seed {seed}", row.name);
                     (row.repair)(&mut sim);
-                    limit + ELECTION_LIMIT
+                    limit + ELECTION_LIMIT_MS
                 }
             };
-            assert_eq!(sim.ask(100, &edit(EDITS)), accepted(EDITS + 1));
-            let took = sim.now - began;
-            assert!(took <= limit, "{}: seed {seed}: {took} ms", row.name);
+            assert_eq!(sim.execute(100, &edit(EDITS)), accepted(EDITS + 1));
+            let took_ms = sim.now - start;
+            assert!(took_ms <= limit, "{}: seed {seed}: {took_ms} ms", row.name);
             (row.repair)(&mut sim);
-            sim.until(REPAIR_LIMIT, Sim::whole);
-            let resent = sim.ask(101, &edit(EDITS - 1));
+            sim.run_until(REPAIR_LIMIT_MS, Sim::has_recovered);
+            let resent = sim.execute(101, &edit(EDITS - 1));
             assert_eq!(resent, accepted(EDITS), "{}: seed {seed}", row.name);
             for host in &sim.hosts {
                 assert_eq!(host.machine.table().revision(), EDITS + 1, "{}", row.name);
@@ -227,13 +232,17 @@
     }
 }
 
+/// Guards against stale reads: a leader without links must let its lease end before the others can
+/// elect a new leader.
 #[test]
-fn leader_that_is_cut_off_answers_no_read_once_another_can_lead() {
+fn isolated_leader_answers_no_read_once_another_leads() {
     for seed in 0..SEEDS {
-        let mut sim = group(seed);
+        let mut sim = group_with_edits(seed);
         let old = leader(&sim);
-        sim.cut(old, true, true);
-        sim.until(ELECTION_LIMIT, |sim| sim.leader().is_some_and(|l| l != old));
+        sim.cut_links(old, true, true);
+        sim.run_until(ELECTION_LIMIT_MS, |sim| {
+            sim.leader().is_some_and(|l| l != old)
+        });
         for id in 200..210 {
             sim.request(old, id, Request::Read);
             sim.run(20);
@@ -243,7 +252,7 @@
     }
 }
 
-/// Names the step after which an entry host crashes.
+/// The step of a call after which the entry host crashes.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Step {
     Accept,
@@ -255,7 +264,7 @@
 fn begin(intent_id: u128) -> Command {
     Command::Begin(Intent {
         digest: Digest::of(&[b"book"]),
-        timeout_ms: HOLD,
+        timeout_ms: CALL_TIMEOUT_MS,
         key: CallKey {
             idempotency: "k".to_owned(),
             workspace: "w".to_owned(),
@@ -264,7 +273,7 @@
     })
 }
 
-fn booked() -> Response {
+fn stored_response() -> Response {
     Response {
         body: b"booked".to_vec(),
         content_type: "text/plain".to_owned(),
@@ -272,23 +281,25 @@
     }
 }
 
+/// Guards against a call that is sent twice: a repeat after a crash may run only if the first
+/// attempt had not begun, and replays the stored response once that is recorded.
 #[test]
-fn crash_of_an_entry_host_has_its_stated_outcome_at_every_step() {
+fn repeat_after_a_crash_of_the_entry_host_runs_no_call_twice() {
     let rows = [
         (Step::Accept, Decision::Run(Attempt(1)), 0),
         (Step::Begin, Decision::Unknown, 0),
         (Step::Send, Decision::Unknown, 1),
-        (Step::Finish, Decision::Replay(booked()), 1),
+        (Step::Finish, Decision::Replay(stored_response()), 1),
     ];
     for (crash, expected, runs) in rows {
         let mut sim = Sim::new(1, 3, Flaw::None);
-        let mut ran = 0;
+        let mut send_count = 0;
         if crash >= Step::Begin {
             let run = Answer::Begin(Decision::Run(Attempt(1)));
-            assert_eq!(sim.ask(1, &begin(1)), run);
+            assert_eq!(sim.execute(1, &begin(1)), run);
         }
         if crash >= Step::Send {
-            ran += 1;
+            send_count += 1;
         }
         if crash >= Step::Finish {
             let report = Command::Finish(Report {
@@ -297,22 +308,23 @@
                     idempotency: "k".to_owned(),
                     workspace: "w".to_owned(),
                 },
-                outcome: Outcome::Done(booked()),
+                outcome: Outcome::Done(stored_response()),
             });
             let recorded = Answer::Finish(Settlement::Recorded);
-            assert_eq!(sim.ask(2, &report), recorded);
+            assert_eq!(sim.execute(2, &report), recorded);
         }
         sim.crash(leader(&sim));
-        sim.run(2 * HOLD);
-        let repeat = sim.ask(3, &begin(2));
+        sim.run(2 * CALL_TIMEOUT_MS);
+        let repeat = sim.execute(3, &begin(2));
         assert_eq!(repeat, Answer::Begin(expected), "{crash:?}");
-        assert_eq!(ran, runs, "{crash:?}");
+        assert_eq!(send_count, runs, "{crash:?}");
     }
 }
 
+/// Guards against a follower that deposes a working leader because only its own link is broken.
 #[test]
-fn voter_that_hears_its_leader_grants_no_vote() {
-    let mut sim = group(1);
+fn voter_in_contact_with_its_leader_grants_no_vote() {
+    let mut sim = group_with_edits(1);
     let (from, to) = (follower(&sim) + 1, follower(&sim));
     let from = sim.hosts[from % 3].disk.identity;
     let raft = sim.hosts[to].raft.as_mut().expect("voter runs");
@@ -345,9 +357,11 @@
     }
 }
 
+/// Guards against a member with an empty disk that acts on messages for the member that its host
+/// ran before, whose votes and entries it does not have.
 #[test]
-fn message_to_another_identity_on_the_same_host_is_dropped() {
-    let mut sim = group(1);
+fn message_to_another_member_id_on_the_same_host_is_dropped() {
+    let mut sim = group_with_edits(1);
     let host = follower(&sim);
     let old = sim.hosts[host].disk.identity;
     sim.lose_disk(host);
--- a/crates/coordination/tests/machine.rs
+++ b/crates/coordination/tests/machine.rs
@@ -1,4 +1,4 @@
-//! Tests leases and the snapshot of the replicated state.
+//! Tests of leases and of snapshots of the replicated state machine.
 
 use coordination::lease::Answer;
 use coordination::lease::Grant;
@@ -27,8 +27,9 @@
     }
 }
 
+/// Guards against two holders of one lease, and against a fencing token that is used again.
 #[test]
-fn lease_has_one_holder_and_a_greater_fence_after_each() {
+fn lease_has_one_holder_and_each_new_holder_a_greater_fencing_token() {
     let mut leases = Leases::default();
     let grant = |fence| {
         Answer::Granted(Grant {
@@ -55,22 +56,25 @@
     assert_eq!(leases.request(1_502, &ask("a", 1_000)), grant(3));
 }
 
+/// Guards against an overlap of two holders when the holder's clock is slow and the leader's clock,
+/// which sets the log time, is fast.
 #[test]
-fn holder_stops_before_the_log_frees_the_lease_at_both_ends_of_the_clock_bound() {
+fn holder_stops_before_the_lease_expires_at_the_limits_of_clock_drift() {
     let grant = Grant {
         duration_ms: 10_000,
         fence: 1,
     };
-    let own = grant.expires_at(Instant(0)).0 as f64;
-    let bound = MAX_CLOCK_DRIFT_PERMILLE as f64 / 1_000.0;
-    let stops = own / (1.0 - bound);
-    let freed = 10_000.0 / (1.0 + bound);
+    let local_ms = grant.expires_at(Instant(0)).0 as f64;
+    let drift = MAX_CLOCK_DRIFT_PERMILLE as f64 / 1_000.0;
+    let stops = local_ms / (1.0 - drift);
+    let expires = 10_000.0 / (1.0 + drift);
     assert!(
-        stops <= freed,
-        "holder stops at {stops}, log frees at {freed}"
+        stops <= expires,
+        "holder stops at {stops}, lease expires at {expires}"
     );
 }
 
+/// Guards against a resent command that takes effect again on a voter restored from a snapshot.
 #[test]
 fn snapshot_keeps_the_answers_that_suppress_duplicates() {
     let edit = Command::Edit(Edit {
--- a/crates/coordination/tests/raft_sim/check.rs
+++ b/crates/coordination/tests/raft_sim/check.rs
@@ -1,9 +1,9 @@
-//! Checks that a concurrent history has a sequential order that explains every answer.
+//! Linearizability check: searches a sequential order that explains every result of a history.
 
 use std::collections::HashSet;
 use std::hash::Hash;
 
-/// Records one operation; one that never returned may have happened or not.
+/// One operation of a history; one that never returned may have taken effect or not.
 #[derive(Clone, Debug)]
 pub struct Operation<I, O> {
     pub called: u64,
@@ -11,15 +11,19 @@
     pub returned: Option<(u64, O)>,
 }
 
-/// Returns whether `operations` can be put in an order that `step` accepts from `start` on.
+/// Returns whether an order of `operations` exists that `step` accepts from `start` on.
 ///
-/// `step` returns the states that may follow, none where the output does not fit.
+/// An operation may come before another only if it was called before the other returned. `step`
+/// returns the states that may follow an operation, none if the output is wrong.
 pub fn is_linearizable<S: Clone + Eq + Hash, I, O>(
     start: S,
     operations: &[Operation<I, O>],
     step: impl Fn(&S, &I, Option<&O>) -> Vec<S>,
 ) -> bool {
-    assert!(operations.len() <= 128, "history is too long to check");
+    assert!(
+        operations.len() <= 128,
+        "history has more than 128 operations"
+    );
     let mut seen = HashSet::new();
     let mut open = vec![(0_u128, start)];
     while let Some((done, state)) = open.pop() {
--- a/crates/coordination/tests/raft_sim/client.rs
+++ b/crates/coordination/tests/raft_sim/client.rs
@@ -1,4 +1,4 @@
-//! Clients that edit, read and order under a schedule, and the rules that their history must obey.
+//! Clients that edit and read the table and begin calls, and the check of their history.
 
 use std::collections::BTreeMap;
 
@@ -28,145 +28,161 @@
 use state::table;
 
 const CLIENTS: usize = 4;
-const HOLD: u64 = 600;
+const CALL_TIMEOUT_MS: u64 = 600;
 const KEYS: [&str; 3] = ["a", "b", "c"];
-const PATIENCE: u64 = 250;
+const RESEND_INTERVAL_MS: u64 = 250;
 const ROWS: [&str; 2] = ["r0", "r1"];
 
+/// Operation of a client.
 #[derive(Clone, Debug)]
 pub enum Input {
+    /// Key of the call and id of the intent.
     Begin(&'static str, u128),
+    /// Row, expected revision and new weight.
     Edit(&'static str, u64, u64),
+    /// Key of the call, attempt and outcome.
     Finish(&'static str, u64, Outcome),
     Read,
 }
 
+/// Result of an operation.
 #[derive(Clone, Debug)]
 pub enum Output {
     Answer(Answer),
-    Read(Sheetful),
+    Read(TableState),
 }
 
-/// Shows the revision of the table and the revision and weight of each row.
+/// Revision of the table, and revision and weight of each row: the sequential model of the table.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
-pub struct Sheetful {
+pub struct TableState {
     revision: u64,
     rows: BTreeMap<&'static str, (u64, u64)>,
 }
 
+/// Sequential model of one call in the ledger.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Call {
+    /// Finished by this attempt.
     Done(u64),
+    /// May begin again; holds the last attempt.
     Free(u64),
+    /// In progress: the attempt, when it is known, and the id of its intent.
     Running(Option<u64>, u128),
+    /// Ended without a known outcome: the attempt, when it is known.
     Unknown(Option<u64>),
 }
 
-struct Open {
+/// An operation that waits for its reply.
+struct PendingOperation {
     id: u64,
     request: Request,
-    resend: u64,
+    resend_at: u64,
 }
 
+/// A client, with the operation that must follow the present one.
 #[derive(Default)]
 struct Client {
     next: Option<Input>,
-    open: Option<Open>,
+    pending: Option<PendingOperation>,
 }
 
-/// Runs clients against a group and keeps their history.
+/// Clients of one group, and the history of their operations.
 pub struct Clients {
     clients: Vec<Client>,
-    event: u64,
+    event_count: u64,
+    /// History of all operations; the request id is the index plus one.
     pub operations: Vec<Operation<Input, Output>>,
-    seen: BTreeMap<&'static str, u64>,
-    pub sends: BTreeMap<&'static str, u64>,
+    seen_revisions: BTreeMap<&'static str, u64>,
+    /// Number of times that each call was sent to its upstream.
+    pub send_counts: BTreeMap<&'static str, u64>,
 }
 
 impl Clients {
     pub fn new() -> Self {
         Self {
             clients: (0..CLIENTS).map(|_| Client::default()).collect(),
-            event: 0,
+            event_count: 0,
             operations: Vec::new(),
-            seen: BTreeMap::new(),
-            sends: BTreeMap::new(),
+            seen_revisions: BTreeMap::new(),
+            send_counts: BTreeMap::new(),
         }
     }
 
-    /// Takes in replies and sends what is due; new operations start only while `fresh`.
-    pub fn step(&mut self, sim: &mut Sim, fresh: bool) {
+    /// Handles replies and resends what is due; new operations start only if `start_new`.
+    pub fn step(&mut self, sim: &mut Sim, start_new: bool) {
         for (id, reply) in std::mem::take(&mut sim.replies) {
-            self.take(sim, id, reply);
+            self.on_reply(sim, id, reply);
         }
         for client in 0..self.clients.len() {
-            if self.clients[client].open.is_none() && (fresh || self.clients[client].next.is_some())
+            if self.clients[client].pending.is_none()
+                && (start_new || self.clients[client].next.is_some())
             {
-                self.call(sim, client);
+                self.start_operation(sim, client);
             }
             self.send(sim, client);
         }
     }
 
+    /// Returns whether no client has an operation in progress.
     pub fn idle(&self) -> bool {
-        let idle = |client: &Client| client.open.is_none() && client.next.is_none();
+        let idle = |client: &Client| client.pending.is_none() && client.next.is_none();
         self.clients.iter().all(idle)
     }
 
-    /// Checks the history.
+    /// Checks that no call was sent twice and that the history is linearizable.
     pub fn check(&self) -> Result<(), String> {
-        if let Some((key, count)) = self.sends.iter().find(|(_, count)| **count > 1) {
+        if let Some((key, count)) = self.send_counts.iter().find(|(_, count)| **count > 1) {
             return Err(format!("call {key} was sent {count} times"));
         }
         let table = |input: &Input| matches!(input, Input::Edit(..) | Input::Read);
-        let start = Sheetful::default();
-        if !check::is_linearizable(start, &self.only(table), edited) {
-            return Err("table history has no sequential order".to_owned());
+        let start = TableState::default();
+        if !check::is_linearizable(start, &self.filtered(table), step_table) {
+            return Err("history of the table is not linearizable".to_owned());
         }
         for key in KEYS {
             let own = |input: &Input| match input {
                 Input::Begin(name, _) | Input::Finish(name, ..) => *name == key,
                 Input::Edit(..) | Input::Read => false,
             };
-            let operations = with_lapsed(self.only(own));
-            if !check::is_linearizable(Call::Free(0), &operations, called) {
-                return Err(format!("ledger history of {key} has no sequential order"));
+            let operations = with_expired_attempts(self.filtered(own));
+            if !check::is_linearizable(Call::Free(0), &operations, step_call) {
+                return Err(format!("history of the call {key} is not linearizable"));
             }
         }
         Ok(())
     }
 
-    fn only(&self, keep: impl Fn(&Input) -> bool) -> Vec<Operation<Input, Output>> {
+    fn filtered(&self, keep: impl Fn(&Input) -> bool) -> Vec<Operation<Input, Output>> {
         let kept = self.operations.iter().filter(|o| keep(&o.input));
         kept.cloned().collect()
     }
 
-    fn call(&mut self, sim: &mut Sim, client: usize) {
+    fn start_operation(&mut self, sim: &mut Sim, client: usize) {
         if sim.rng.random_bool(0.75) {
             return;
         }
         let next = self.clients[client].next.take();
-        let input = next.unwrap_or_else(|| self.choose(sim));
+        let input = next.unwrap_or_else(|| self.random_input(sim));
         let id = self.operations.len() as u64 + 1;
-        self.event += 1;
+        self.event_count += 1;
         self.operations.push(Operation {
-            called: self.event,
+            called: self.event_count,
             input: input.clone(),
             returned: None,
         });
-        self.clients[client].open = Some(Open {
+        self.clients[client].pending = Some(PendingOperation {
             id,
             request: request(id, &input),
-            resend: 0,
+            resend_at: 0,
         });
     }
 
-    fn choose(&self, sim: &mut Sim) -> Input {
+    fn random_input(&self, sim: &mut Sim) -> Input {
         let row = ROWS[sim.rng.random_range(0..ROWS.len())];
         let key = KEYS[sim.rng.random_range(0..KEYS.len())];
         match sim.rng.random_range(0..10) {
             0..4 => {
-                let revision = self.seen.get(row).copied().unwrap_or(0);
+                let revision = self.seen_revisions.get(row).copied().unwrap_or(0);
                 Input::Edit(row, revision, sim.rng.random_range(1..100))
             }
             4..6 => Input::Read,
@@ -175,47 +191,47 @@
     }
 
     fn send(&mut self, sim: &mut Sim, client: usize) {
-        let Some(open) = &mut self.clients[client].open else {
+        let Some(pending) = &mut self.clients[client].pending else {
             return;
         };
-        if sim.now >= open.resend {
-            open.resend = sim.now + PATIENCE;
+        if sim.now >= pending.resend_at {
+            pending.resend_at = sim.now + RESEND_INTERVAL_MS;
             let host = sim.rng.random_range(0..sim.hosts.len());
             let host = sim
                 .leader()
                 .filter(|_| sim.rng.random_bool(0.5))
                 .unwrap_or(host);
-            sim.request(host, open.id, open.request.clone());
+            sim.request(host, pending.id, pending.request.clone());
         }
     }
 
-    fn take(&mut self, sim: &mut Sim, id: u64, reply: Reply) {
-        let waits = |c: &Client| c.open.as_ref().is_some_and(|o| o.id == id);
+    fn on_reply(&mut self, sim: &mut Sim, id: u64, reply: Reply) {
+        let waits = |c: &Client| c.pending.as_ref().is_some_and(|o| o.id == id);
         let Some(client) = self.clients.iter().position(waits) else {
             return;
         };
         let output = match reply {
             Reply::Answer(answer) => Output::Answer(answer),
-            Reply::Read(machine) => Output::Read(sheetful(machine.table())),
+            Reply::Read(machine) => Output::Read(table_state(machine.table())),
             Reply::Refused => return,
         };
-        self.clients[client].open = None;
-        self.event += 1;
+        self.clients[client].pending = None;
+        self.event_count += 1;
         let operation = &mut self.operations[id as usize - 1];
-        operation.returned = Some((self.event, output.clone()));
+        operation.returned = Some((self.event_count, output.clone()));
         let input = operation.input.clone();
-        self.learn(sim, client, input, output);
+        self.on_output(sim, client, input, output);
     }
 
-    fn learn(&mut self, sim: &mut Sim, client: usize, input: Input, output: Output) {
+    fn on_output(&mut self, sim: &mut Sim, client: usize, input: Input, output: Output) {
         match (input, output) {
             (Input::Begin(key, _), Output::Answer(Answer::Begin(Decision::Run(attempt)))) => {
                 let outcome = match sim.rng.random_range(0..10) {
                     0..2 => return,
                     2..4 => Outcome::NotRun,
                     _ => {
-                        *self.sends.entry(key).or_default() += 1;
-                        Outcome::Done(answer_of(attempt.0))
+                        *self.send_counts.entry(key).or_default() += 1;
+                        Outcome::Done(response_of(attempt.0))
                     }
                 };
                 self.clients[client].next = Some(Input::Finish(key, attempt.0, outcome));
@@ -226,33 +242,37 @@
                     Err(table::Error::Conflict { found, .. }) => found,
                     Err(_) => 0,
                 };
-                self.seen.insert(row, revision);
+                self.seen_revisions.insert(row, revision);
             }
             _ => {}
         }
     }
 }
 
-/// Adds an asking without an answer for each that was told "unknown": its own attempt may have
-/// lapsed before a copy of it was answered, which makes two steps of one asking.
-fn with_lapsed(mut operations: Vec<Operation<Input, Output>>) -> Vec<Operation<Input, Output>> {
+/// Adds an operation without a result for each that was answered "unknown".
+///
+/// A request may be delivered twice: the first copy begins an attempt that times out, and the
+/// second one is answered "unknown". One operation then takes two steps of the model.
+fn with_expired_attempts(
+    mut operations: Vec<Operation<Input, Output>>,
+) -> Vec<Operation<Input, Output>> {
     let unknown = Answer::Begin(Decision::Unknown);
-    let told = |o: &&Operation<Input, Output>| match &o.returned {
+    let is_unknown = |o: &&Operation<Input, Output>| match &o.returned {
         Some((_, Output::Answer(answer))) => *answer == unknown,
         _ => false,
     };
-    let lapsed = operations.iter().filter(told).cloned();
-    let lapsed: Vec<_> = lapsed
+    let expired = operations.iter().filter(is_unknown).cloned();
+    let expired: Vec<_> = expired
         .map(|o| Operation {
             returned: None,
             ..o
         })
         .collect();
-    operations.extend(lapsed);
+    operations.extend(expired);
     operations
 }
 
-fn answer_of(attempt: u64) -> Response {
+fn response_of(attempt: u64) -> Response {
     Response {
         body: attempt.to_le_bytes().to_vec(),
         ..Response::default()
@@ -265,11 +285,11 @@
         workspace: "w".to_owned(),
     };
     Request::Command(match input {
-        Input::Begin(name, owner) => Command::Begin(Intent {
+        Input::Begin(name, intent_id) => Command::Begin(Intent {
             digest: Digest::of(&[name.as_bytes()]),
-            timeout_ms: HOLD,
+            timeout_ms: CALL_TIMEOUT_MS,
             key: key(name),
-            intent_id: *owner,
+            intent_id: *intent_id,
         }),
         Input::Edit(row, revision, weight) => Command::Edit(edit(id, row, *revision, *weight)),
         Input::Finish(name, attempt, outcome) => Command::Finish(Report {
@@ -302,18 +322,19 @@
     }
 }
 
-fn sheetful(table: &table::Table) -> Sheetful {
+fn table_state(table: &table::Table) -> TableState {
     let row = |name: &&'static str| {
         let row = table.get(Sheet::Kinds, *name)?;
         Some((*name, (row.revision, row.number(Column::Weight)?)))
     };
-    Sheetful {
+    TableState {
         revision: table.revision(),
         rows: ROWS.iter().filter_map(row).collect(),
     }
 }
 
-fn edited(state: &Sheetful, input: &Input, output: Option<&Output>) -> Vec<Sheetful> {
+/// Returns the states that may follow an operation on the table, none if the output is wrong.
+fn step_table(state: &TableState, input: &Input, output: Option<&Output>) -> Vec<TableState> {
     let (row, expected, weight) = match (input, output) {
         (Input::Edit(row, expected, weight), _) => (row, *expected, *weight),
         (_, Some(Output::Read(seen))) if seen != state => return Vec::new(),
@@ -330,28 +351,29 @@
         Some(Output::Answer(Answer::Edit(Ok(receipt)))) => {
             found == expected && receipt.revision == next.revision
         }
-        Some(Output::Answer(Answer::Edit(Err(table::Error::Conflict { found: told, .. })))) => {
-            found != expected && found == *told
+        Some(Output::Answer(Answer::Edit(Err(table::Error::Conflict { found: seen, .. })))) => {
+            found != expected && found == *seen
         }
         Some(_) => false,
     };
     fits.then_some(next).into_iter().collect()
 }
 
-fn called(state: &Call, input: &Input, output: Option<&Output>) -> Vec<Call> {
+/// Returns the states that may follow an operation on one call, none if the output is wrong.
+fn step_call(state: &Call, input: &Input, output: Option<&Output>) -> Vec<Call> {
     let next = match (input, output) {
-        (Input::Begin(_, owner), output) => begun(state, *owner, output),
-        (Input::Finish(_, attempt, outcome), Some(Output::Answer(Answer::Finish(told)))) => (*told
+        (Input::Begin(_, intent_id), output) => step_begin(state, *intent_id, output),
+        (Input::Finish(_, attempt, outcome), Some(Output::Answer(Answer::Finish(seen)))) => (*seen
             == Settlement::Recorded)
-            .then(|| finished(state, *attempt, outcome))
+            .then(|| step_finish(state, *attempt, outcome))
             .flatten(),
-        (Input::Finish(_, attempt, outcome), None) => finished(state, *attempt, outcome),
+        (Input::Finish(_, attempt, outcome), None) => step_finish(state, *attempt, outcome),
         _ => None,
     };
     next.into_iter().collect()
 }
 
-fn begun(state: &Call, owner: u128, output: Option<&Output>) -> Option<Call> {
+fn step_begin(state: &Call, intent_id: u128, output: Option<&Output>) -> Option<Call> {
     let decision = match output {
         Some(Output::Answer(Answer::Begin(decision))) => Some(decision),
         _ => None,
@@ -359,20 +381,21 @@
     match (state, decision) {
         (Call::Done(_), None) => Some(state.clone()),
         (Call::Done(attempt), Some(Decision::Replay(response))) => {
-            (*response == answer_of(*attempt)).then(|| state.clone())
+            (*response == response_of(*attempt)).then(|| state.clone())
         }
-        (Call::Free(_), None) => Some(Call::Running(None, owner)),
+        (Call::Free(_), None) => Some(Call::Running(None, intent_id)),
         (Call::Free(_), Some(Decision::Stale)) => Some(state.clone()),
         (Call::Free(last), Some(Decision::Run(attempt))) => {
-            (attempt.0 > *last).then_some(Call::Running(Some(attempt.0), owner))
+            (attempt.0 > *last).then_some(Call::Running(Some(attempt.0), intent_id))
         }
-        (Call::Running(known, by), Some(Decision::Run(attempt))) => {
+        (Call::Running(known, running_id), Some(Decision::Run(attempt))) => {
             let same = known.is_none_or(|known| known == attempt.0);
-            (*by == owner && same).then_some(Call::Running(Some(attempt.0), owner))
+            (*running_id == intent_id && same).then_some(Call::Running(Some(attempt.0), intent_id))
         }
-        (Call::Running(known, by), Some(Decision::Running(attempt))) => {
+        (Call::Running(known, running_id), Some(Decision::Running(attempt))) => {
             let same = known.is_none_or(|known| known == attempt.0);
-            (*by != owner && same).then_some(Call::Running(Some(attempt.0), *by))
+            (*running_id != intent_id && same)
+                .then_some(Call::Running(Some(attempt.0), *running_id))
         }
         (Call::Running(known, _), Some(Decision::Unknown)) => Some(Call::Unknown(*known)),
         (Call::Running(..) | Call::Unknown(_), None) => Some(state.clone()),
@@ -381,7 +404,7 @@
     }
 }
 
-fn finished(state: &Call, attempt: u64, outcome: &Outcome) -> Option<Call> {
+fn step_finish(state: &Call, attempt: u64, outcome: &Outcome) -> Option<Call> {
     let next = match outcome {
         Outcome::Done(_) => Call::Done(attempt),
         Outcome::NotRun => Call::Free(attempt),
--- a/crates/coordination/tests/raft_sim/mod.rs
+++ b/crates/coordination/tests/raft_sim/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a group of voters in virtual time under a seeded schedule of faults.
+//! Simulation of a Raft group in virtual time: network, disks and clocks follow a seeded generator.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -36,46 +36,48 @@
 use coordination::state_machine::StateMachine;
 use state::time::Instant;
 
-const ASK_AGAIN: u64 = 100;
-const ASK_LIMIT: u64 = 60_000;
-const COMPACT_EVERY: u64 = 12;
+const RESEND_INTERVAL_MS: u64 = 100;
+const EXECUTE_LIMIT_MS: u64 = 60_000;
+const COMPACT_INTERVAL_ENTRIES: u64 = 12;
 const PERMILLE: u32 = 1_000;
-const TICK: u64 = 10;
+const TICK_MS: u64 = 10;
 
-/// Breaks one safety rule on purpose.
+/// A safety rule that the simulation breaks on purpose, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Flaw {
     #[default]
     None,
+    /// Confirms a write before it is synced.
     SkipSync,
-    TrustName,
+    /// Keeps the id of a member whose disk was replaced by an empty one.
+    ReuseId,
 }
 
-/// Bounds the faults of a schedule.
+/// Delays and fault rates of the network and the disks; rates are in parts per thousand.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultRates {
-    pub delay: u64,
+    pub max_delay_ms: u64,
     pub duplicated: u32,
     pub lost: u32,
-    pub sync: u64,
+    pub max_sync_ms: u64,
 }
 
 impl FaultRates {
-    pub const CALM: Self = Self {
-        delay: 3,
+    pub const LIGHT: Self = Self {
+        max_delay_ms: 3,
         duplicated: 0,
         lost: 0,
-        sync: 4,
+        max_sync_ms: 4,
     };
-    pub const STORM: Self = Self {
-        delay: 60,
+    pub const HEAVY: Self = Self {
+        max_delay_ms: 60,
         duplicated: 100,
         lost: 100,
-        sync: 40,
+        max_sync_ms: 40,
     };
 }
 
-/// Tells a client what became of its request.
+/// Reply to a request of a client.
 #[derive(Clone, Debug)]
 pub enum Reply {
     Answer(Answer),
@@ -83,55 +85,70 @@
     Refused,
 }
 
+/// Request of a client to one host.
 #[derive(Clone, Debug)]
 pub enum Request {
     Command(Command),
     Read,
 }
 
+/// A scheduled event of the simulation.
 #[derive(Debug)]
-enum Happening {
+enum SimEvent {
     Deliver(Envelope),
+    /// Request id and reply.
     Reply(u64, Reply),
+    /// Host, request id and request.
     Request(usize, u64, Request),
+    /// Host, its epoch and the sequence number of the write that is synced.
     Synced(usize, u64, u64),
     Tick,
 }
 
+/// A simulated disk, which loses what is not synced in a crash.
 #[derive(Debug, Default)]
 pub struct Disk {
     pub identity: MemberId,
     pub synced: Recovered,
+    /// Sequence number and records of each write that is not synced.
     unsynced: Vec<(u64, Vec<Record>)>,
 }
 
+/// A host with its disk; the Raft member is `None` while the host is down.
 pub struct Host {
-    clock_permille: u64,
-    compacted: u64,
+    clock_rate_permille: u64,
+    compacted_index: u64,
     pub disk: Disk,
+    /// Number of crashes, so that a sync from before a crash has no effect after it.
     epoch: u64,
-    pub applied: u64,
+    pub applied_index: u64,
     pub machine: StateMachine,
     pub raft: Option<Raft>,
-    reads: Vec<(u64, u64)>,
-    waiting: BTreeMap<u64, (u64, u64)>,
+    /// Index to apply first and request id of each read.
+    pending_reads: Vec<(u64, u64)>,
+    /// Term and request id of each proposal, by log index.
+    pending_commands: BTreeMap<u64, (u64, u64)>,
 }
 
+/// A simulated Raft group, one member per host.
 pub struct Sim {
+    /// Pairs of sender and receiver whose messages are dropped.
     pub blocked: BTreeSet<(usize, usize)>,
     pub flaw: Flaw,
     pub hosts: Vec<Host>,
-    identities: u64,
+    last_identity: u64,
+    /// The leader of each term, to check that there is only one.
     pub leaders: BTreeMap<u64, MemberId>,
     pub now: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    events: BTreeMap<u64, SimEvent>,
     pub replies: Vec<(u64, Reply)>,
     pub rng: ChaCha8Rng,
-    serial: u64,
+    sequence_number: u64,
     pub fault_rates: FaultRates,
 }
 
+/// Returns the membership record of a host.
 pub fn member(host: usize) -> Member {
     Member {
         address: SocketAddr::from(([127, 0, 0, 1], 7_000 + host as u16)),
@@ -141,44 +158,44 @@
 }
 
 impl Sim {
-    /// Returns a group of `voters` hosts, all of them voters, with a leader.
+    /// Returns a group of `voters` hosts that all vote, with an elected leader.
     pub fn new(seed: u64, voters: usize, flaw: Flaw) -> Self {
         let mut sim = Self {
             blocked: BTreeSet::new(),
             flaw,
-            happenings: BTreeMap::new(),
+            events: BTreeMap::new(),
             hosts: Vec::new(),
-            identities: 0,
+            last_identity: 0,
             leaders: BTreeMap::new(),
             now: 0,
             queue: BinaryHeap::new(),
             replies: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            serial: 0,
-            fault_rates: FaultRates::CALM,
+            sequence_number: 0,
+            fault_rates: FaultRates::LIGHT,
         };
         for _ in 0..voters {
             let skew = sim.rng.random_range(0..=2 * MAX_CLOCK_DRIFT_PERMILLE);
             sim.hosts.push(Host {
-                applied: 0,
-                clock_permille: 1_000 - MAX_CLOCK_DRIFT_PERMILLE + skew,
-                compacted: 0,
+                applied_index: 0,
+                clock_rate_permille: 1_000 - MAX_CLOCK_DRIFT_PERMILLE + skew,
+                compacted_index: 0,
                 disk: Disk::default(),
                 epoch: 0,
                 machine: StateMachine::default(),
                 raft: None,
-                reads: Vec::new(),
-                waiting: BTreeMap::new(),
+                pending_reads: Vec::new(),
+                pending_commands: BTreeMap::new(),
             });
         }
         (0..voters).for_each(|host| sim.lose_disk(host));
-        sim.schedule(TICK, Happening::Tick);
+        sim.schedule(TICK_MS, SimEvent::Tick);
         sim.step(0, Event::Bootstrap(member(0)));
-        sim.until(60_000, |sim| sim.whole());
+        sim.run_until(60_000, |sim| sim.has_recovered());
         sim
     }
 
-    /// Stops a host and drops a random part of what it had not synced.
+    /// Crashes a host, which loses a random part of its writes that are not synced.
     pub fn crash(&mut self, host: usize) {
         let unsynced = std::mem::take(&mut self.hosts[host].disk.unsynced);
         let kept = self.rng.random_range(0..=unsynced.len());
@@ -190,10 +207,10 @@
         }
     }
 
-    /// Starts a host from its disk.
+    /// Starts a host from what its disk holds.
     pub fn start(&mut self, host: usize) {
         let seed = self.rng.random();
-        let now = self.clock(host);
+        let now = self.local_time(host);
         let host = &mut self.hosts[host];
         let settings = Settings::default()
             .max_uncommitted_entries(64)
@@ -203,14 +220,14 @@
             .max_chunk_bytes(200)
             .window(3);
         let recovered = host.disk.synced.clone();
-        host.applied = recovered.snapshot.meta.position.index;
-        host.compacted = host.applied;
-        host.machine = match host.applied {
+        host.applied_index = recovered.snapshot.meta.position.index;
+        host.compacted_index = host.applied_index;
+        host.machine = match host.applied_index {
             0 => StateMachine::default(),
             _ => StateMachine::restore(&recovered.snapshot.data).expect("snapshot decodes"),
         };
-        host.reads.clear();
-        host.waiting.clear();
+        host.pending_reads.clear();
+        host.pending_commands.clear();
         host.raft = Some(Raft::new(
             host.disk.identity,
             settings,
@@ -223,12 +240,12 @@
     /// Replaces a host's disk by an empty one and starts it.
     pub fn lose_disk(&mut self, host: usize) {
         self.crash(host);
-        self.identities += 1;
+        self.last_identity += 1;
         let identity = match self.flaw {
-            Flaw::TrustName if self.hosts[host].disk.identity != MemberId::default() => {
+            Flaw::ReuseId if self.hosts[host].disk.identity != MemberId::default() => {
                 self.hosts[host].disk.identity
             }
-            _ => MemberId(self.identities),
+            _ => MemberId(self.last_identity),
         };
         self.hosts[host].disk = Disk {
             identity,
@@ -247,9 +264,9 @@
         (0..self.hosts.len()).filter(leads).max_by_key(term)
     }
 
-    /// Returns whether all hosts run and are the voters, no one else is, and all have applied
-    /// the same.
-    pub fn whole(&self) -> bool {
+    /// Returns whether all hosts run, exactly they are the voters, and all have applied the whole
+    /// log.
+    pub fn has_recovered(&self) -> bool {
         let Some(leader) = self.leader() else {
             return false;
         };
@@ -263,24 +280,24 @@
         own.len() == self.hosts.len()
             && raft.config().members.len() == own.len()
             && raft.config().voters().eq(own)
-            && self.hosts.iter().all(|host| host.applied == last)
+            && self.hosts.iter().all(|host| host.applied_index == last)
     }
 
-    /// Hands a request to a host; the reply may get lost.
+    /// Sends a request to a host; the reply may be lost.
     pub fn request(&mut self, host: usize, id: u64, request: Request) {
-        let delay = self.delay();
-        self.schedule(delay, Happening::Request(host, id, request));
+        let delay = self.random_delay();
+        self.schedule(delay, SimEvent::Request(host, id, request));
     }
 
-    /// Sends a command to whoever leads until it is answered.
-    pub fn ask(&mut self, id: u64, command: &Command) -> Answer {
-        let end = self.now + ASK_LIMIT;
+    /// Sends a command to the present leader again and again until it is answered.
+    pub fn execute(&mut self, id: u64, command: &Command) -> Answer {
+        let end = self.now + EXECUTE_LIMIT_MS;
         loop {
-            assert!(self.now < end, "no answer in {ASK_LIMIT} ms");
+            assert!(self.now < end, "no answer in {EXECUTE_LIMIT_MS} ms");
             if let Some(leader) = self.leader() {
                 self.request(leader, id, Request::Command(command.clone()));
             }
-            self.run(ASK_AGAIN);
+            self.run(RESEND_INTERVAL_MS);
             let replies = std::mem::take(&mut self.replies);
             let answer = replies.into_iter().find_map(|reply| match reply {
                 (found, Reply::Answer(answer)) if found == id => Some(answer),
@@ -292,67 +309,67 @@
         }
     }
 
-    /// Cuts the links from and to a host.
-    pub fn cut(&mut self, host: usize, sends: bool, receives: bool) {
+    /// Cuts all outbound links, all inbound links or both of a host.
+    pub fn cut_links(&mut self, host: usize, outbound: bool, inbound: bool) {
         for other in 0..self.hosts.len() {
-            if sends {
+            if outbound {
                 self.blocked.insert((host, other));
             }
-            if receives {
+            if inbound {
                 self.blocked.insert((other, host));
             }
         }
     }
 
-    /// Runs until `done` holds.
-    pub fn until(&mut self, limit: u64, done: impl Fn(&Self) -> bool) {
+    /// Runs until `done` holds, and panics after `limit` milliseconds.
+    pub fn run_until(&mut self, limit: u64, done: impl Fn(&Self) -> bool) {
         let end = self.now + limit;
         while !done(self) {
-            assert!(self.now < end, "nothing came of it in {limit} ms");
-            self.run(TICK);
+            assert!(self.now < end, "condition does not hold after {limit} ms");
+            self.run(TICK_MS);
         }
     }
 
-    /// Runs for a while.
+    /// Runs the simulation for `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
-        while let Some(Reverse((at, serial))) = self.queue.peek().copied()
+        while let Some(Reverse((at, sequence_number))) = self.queue.peek().copied()
             && at <= end
         {
             self.queue.pop();
             self.now = at;
-            if let Some(happening) = self.happenings.remove(&serial) {
-                self.happen(happening);
+            if let Some(event) = self.events.remove(&sequence_number) {
+                self.handle(event);
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver(envelope) => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Deliver(envelope) => {
                 let found = |host: &Host| host.disk.identity == envelope.to;
                 if let Some(host) = self.hosts.iter().position(found) {
                     self.step(host, Event::Message(envelope));
                 }
             }
-            Happening::Reply(id, reply) => self.replies.push((id, reply)),
-            Happening::Request(host, id, request) => self.serve(host, id, request),
-            Happening::Synced(host, epoch, sequence) => {
+            SimEvent::Reply(id, reply) => self.replies.push((id, reply)),
+            SimEvent::Request(host, id, request) => self.handle_request(host, id, request),
+            SimEvent::Synced(host, epoch, sequence) => {
                 if self.hosts[host].epoch == epoch {
                     self.sync(host, sequence);
                     self.step(host, Event::Persisted(sequence));
                 }
             }
-            Happening::Tick => {
-                self.schedule(TICK, Happening::Tick);
+            SimEvent::Tick => {
+                self.schedule(TICK_MS, SimEvent::Tick);
                 (0..self.hosts.len()).for_each(|host| self.step(host, Event::Tick));
-                self.operate();
+                self.repair_membership();
             }
         }
     }
 
-    fn serve(&mut self, host: usize, id: u64, request: Request) {
+    fn handle_request(&mut self, host: usize, id: u64, request: Request) {
         if self.hosts[host].raft.is_none() {
             return;
         }
@@ -365,8 +382,9 @@
         }
     }
 
-    /// Does what an operator does after a loss: adds who is new, promotes it, removes who is gone.
-    fn operate(&mut self) {
+    /// Makes one membership change as an operator would: adds new hosts as learners, promotes them,
+    /// then removes the members whose disks are lost.
+    fn repair_membership(&mut self) {
         let Some(leader) = self.leader() else {
             return;
         };
@@ -395,7 +413,7 @@
     }
 
     fn step(&mut self, host: usize, event: Event) {
-        let now = self.clock(host);
+        let now = self.local_time(host);
         let Some(raft) = self.hosts[host].raft.as_mut() else {
             return;
         };
@@ -406,16 +424,18 @@
             assert_eq!(first, identity, "two leaders in term {term}");
         }
         for effect in effects {
-            self.effect(host, effect);
+            self.carry_out(host, effect);
         }
         self.compact(host);
     }
 
-    fn effect(&mut self, host: usize, effect: Effect) {
+    fn carry_out(&mut self, host: usize, effect: Effect) {
         match effect {
             Effect::Accepted(token, position) => {
-                let waiting = (position.term, token.0);
-                self.hosts[host].waiting.insert(position.index, waiting);
+                let proposal = (position.term, token.0);
+                self.hosts[host]
+                    .pending_commands
+                    .insert(position.index, proposal);
             }
             Effect::Apply(entries) => self.apply(host, &entries),
             Effect::Persist { records, sequence } => {
@@ -423,21 +443,21 @@
                 if self.flaw == Flaw::SkipSync {
                     return self.step(host, Event::Persisted(sequence));
                 }
-                let slow = self.rng.random_range(1..=self.fault_rates.sync);
+                let sync_ms = self.rng.random_range(1..=self.fault_rates.max_sync_ms);
                 let epoch = self.hosts[host].epoch;
-                self.schedule(slow, Happening::Synced(host, epoch, sequence));
+                self.schedule(sync_ms, SimEvent::Synced(host, epoch, sequence));
             }
             Effect::Read(token, index) => {
-                self.hosts[host].reads.push((index, token.0));
+                self.hosts[host].pending_reads.push((index, token.0));
                 self.answer_reads(host);
             }
             Effect::Refused(token, _) => self.reply(token.0, Reply::Refused),
             Effect::Restore(snapshot) => {
                 let host = &mut self.hosts[host];
                 host.machine = StateMachine::restore(&snapshot.data).expect("snapshot decodes");
-                host.applied = snapshot.meta.position.index;
-                host.compacted = host.applied;
-                host.waiting.clear();
+                host.applied_index = snapshot.meta.position.index;
+                host.compacted_index = host.applied_index;
+                host.pending_commands.clear();
             }
             Effect::Send(envelope) => self.send(host, envelope),
         }
@@ -446,15 +466,19 @@
     fn apply(&mut self, host: usize, entries: &[Entry]) {
         for entry in entries {
             let known = &mut self.hosts[host];
-            assert_eq!(known.applied + 1, entry.position.index, "gap");
-            known.applied = entry.position.index;
-            let waiting = known.waiting.remove(&entry.position.index);
+            assert_eq!(
+                known.applied_index + 1,
+                entry.position.index,
+                "gap in the applied entries"
+            );
+            known.applied_index = entry.position.index;
+            let proposal = known.pending_commands.remove(&entry.position.index);
             let Payload::Command(bytes) = &entry.payload else {
                 continue;
             };
             let command = Command::decode(bytes).expect("command decodes");
             let answer = known.machine.apply(entry.log_time_ms, &command);
-            if let Some((term, id)) = waiting
+            if let Some((term, id)) = proposal
                 && term == entry.position.term
             {
                 self.reply(id, Reply::Answer(answer));
@@ -465,9 +489,11 @@
 
     fn answer_reads(&mut self, host: usize) {
         let known = &mut self.hosts[host];
-        let applied = known.applied;
+        let applied_index = known.applied_index;
         let machine = known.machine.clone();
-        let ready = known.reads.extract_if(.., |(index, _)| *index <= applied);
+        let ready = known
+            .pending_reads
+            .extract_if(.., |(index, _)| *index <= applied_index);
         for (_, id) in ready.collect::<Vec<_>>() {
             self.reply(id, Reply::Read(Box::new(machine.clone())));
         }
@@ -475,12 +501,14 @@
 
     fn compact(&mut self, host: usize) {
         let known = &mut self.hosts[host];
-        if known.raft.is_none() || known.applied < known.compacted + COMPACT_EVERY {
+        if known.raft.is_none()
+            || known.applied_index < known.compacted_index + COMPACT_INTERVAL_ENTRIES
+        {
             return;
         }
-        known.compacted = known.applied;
+        known.compacted_index = known.applied_index;
         let data: Arc<[u8]> = known.machine.snapshot().expect("state encodes").into();
-        let index = known.applied;
+        let index = known.applied_index;
         self.step(host, Event::Compact { data, index });
     }
 
@@ -508,29 +536,30 @@
             return;
         }
         for _ in 0..copies {
-            let delay = self.delay();
-            self.schedule(delay, Happening::Deliver(envelope.clone()));
+            let delay = self.random_delay();
+            self.schedule(delay, SimEvent::Deliver(envelope.clone()));
         }
     }
 
     fn reply(&mut self, id: u64, reply: Reply) {
         if self.rng.random_range(0..PERMILLE) >= self.fault_rates.lost {
-            let delay = self.delay();
-            self.schedule(delay, Happening::Reply(id, reply));
+            let delay = self.random_delay();
+            self.schedule(delay, SimEvent::Reply(id, reply));
         }
     }
 
-    fn delay(&mut self) -> u64 {
-        self.rng.random_range(1..=self.fault_rates.delay)
+    fn random_delay(&mut self) -> u64 {
+        self.rng.random_range(1..=self.fault_rates.max_delay_ms)
     }
 
-    fn schedule(&mut self, after: u64, happening: Happening) {
-        self.serial += 1;
-        self.queue.push(Reverse((self.now + after, self.serial)));
-        self.happenings.insert(self.serial, happening);
+    fn schedule(&mut self, after: u64, event: SimEvent) {
+        self.sequence_number += 1;
+        self.queue
+            .push(Reverse((self.now + after, self.sequence_number)));
+        self.events.insert(self.sequence_number, event);
     }
 
-    fn clock(&self, host: usize) -> Instant {
-        Instant(self.now * self.hosts[host].clock_permille / 1_000)
+    fn local_time(&self, host: usize) -> Instant {
+        Instant(self.now * self.hosts[host].clock_rate_permille / 1_000)
     }
 }
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Which hosts should vote when hosts are gone or end.
+//! Tests of the replacement of voters whose hosts are lost or draining.
 
 mod common;
 
@@ -20,14 +20,14 @@
 
 const TARGET: usize = 3;
 
-fn host(place: usize, standing: Standing, draining: bool) -> view::Member {
-    let mut profile = profile(place, 3);
+fn host(index: usize, standing: Standing, draining: bool) -> view::Member {
+    let mut profile = profile(index, 3);
     profile.draining = draining;
     profile.roles = [Role::Voter].into_iter().collect();
     view::Member {
         reachable: true,
         record: Record {
-            host: name(place),
+            host: name(index),
             profile,
             standing,
             version: Version::default(),
@@ -35,50 +35,53 @@
     }
 }
 
-fn sound(places: &[usize]) -> View {
-    let sound = |place: &usize| host(*place, Standing::Alive, false);
+/// Returns a view in which all given hosts are alive; the own host is the first one.
+fn healthy_view(indices: &[usize]) -> View {
+    let healthy = |index: &usize| host(*index, Standing::Alive, false);
     View {
-        hosts: places.iter().map(sound).collect(),
+        hosts: indices.iter().map(healthy).collect(),
         isolated: false,
         me: name(0),
     }
 }
 
-fn members(places: &[usize]) -> Config {
-    let member = |place: &usize| {
+/// Returns a membership in which all given hosts vote.
+fn members(indices: &[usize]) -> Config {
+    let member = |index: &usize| {
         let member = Member {
-            address: profile(*place, 3).peer,
-            name: name(*place),
+            address: profile(*index, 3).peer,
+            name: name(*index),
             votes: true,
         };
-        (MemberId(*place as u64), member)
+        (MemberId(*index as u64), member)
     };
     Config {
         group: MemberId(9),
-        members: places.iter().map(member).collect::<BTreeMap<_, _>>(),
+        members: indices.iter().map(member).collect::<BTreeMap<_, _>>(),
     }
 }
 
-fn successors(view: &View) -> Vec<String> {
+fn replacements(view: &View) -> Vec<String> {
     let hosts = voters::replacement_hosts(&members(&[0, 1, 2]), view, TARGET);
     hosts.into_iter().map(|(name, _)| name).collect()
 }
 
 #[test]
-fn a_group_whose_hosts_are_sound_stays_as_it_is() {
-    let view = sound(&[0, 1, 2, 3]);
-    assert!(successors(&view).is_empty());
+fn a_group_on_healthy_hosts_is_not_changed() {
+    let view = healthy_view(&[0, 1, 2, 3]);
+    assert!(replacements(&view).is_empty());
     assert_eq!(
         voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET),
         None
     );
 }
 
+/// Guards against a removal before the replacement votes, which would shrink the group.
 #[test]
-fn a_voter_whose_host_is_gone_stays_until_another_votes_in_its_place() {
-    let mut view = sound(&[0, 1, 2, 3]);
+fn a_voter_on_a_dead_host_stays_until_its_replacement_votes() {
+    let mut view = healthy_view(&[0, 1, 2, 3]);
     view.hosts[2] = host(2, Standing::Dead, false);
-    assert_eq!(successors(&view), [name(3)]);
+    assert_eq!(replacements(&view), [name(3)]);
     assert_eq!(
         voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET),
         None
@@ -89,17 +92,18 @@
     assert!(voters::replacement_hosts(&all, &view, TARGET).is_empty());
 }
 
+/// Guards against a wait for the failure detector, during which another host may be lost.
 #[test]
-fn a_voter_whose_host_is_suspected_is_replaced_where_another_can_vote() {
-    let mut view = sound(&[0, 1, 2, 3]);
+fn a_voter_on_a_suspected_host_is_replaced_if_another_host_can_vote() {
+    let mut view = healthy_view(&[0, 1, 2, 3]);
     view.hosts[2] = host(2, Standing::Suspect, false);
-    assert_eq!(successors(&view), [name(3)]);
+    assert_eq!(replacements(&view), [name(3)]);
     let all = members(&[0, 1, 2, 3]);
     let gone = Some(MemberId(2));
     assert_eq!(voters::removable_voter(&all, &view, TARGET), gone);
-    let mut alone = sound(&[0, 1, 2]);
+    let mut alone = healthy_view(&[0, 1, 2]);
     alone.hosts[2] = host(2, Standing::Suspect, false);
-    assert!(successors(&alone).is_empty());
+    assert!(replacements(&alone).is_empty());
     assert_eq!(
         voters::removable_voter(&members(&[0, 1, 2]), &alone, TARGET),
         None
@@ -107,29 +111,29 @@
 }
 
 #[test]
-fn a_voter_whose_host_ends_is_replaced_before_it_has_ended() {
-    let mut view = sound(&[0, 1, 2, 3]);
+fn a_voter_on_a_draining_host_is_replaced_before_the_host_stops() {
+    let mut view = healthy_view(&[0, 1, 2, 3]);
     view.hosts[1] = host(1, Standing::Alive, true);
-    assert_eq!(successors(&view), [name(3)]);
+    assert_eq!(replacements(&view), [name(3)]);
 }
 
 #[test]
-fn a_host_that_ends_or_is_suspected_succeeds_nobody() {
+fn a_draining_suspected_or_dead_host_replaces_no_voter() {
     for candidate in [
         host(3, Standing::Alive, true),
         host(3, Standing::Suspect, false),
         host(3, Standing::Dead, false),
     ] {
-        let mut view = sound(&[0, 1, 2, 3]);
+        let mut view = healthy_view(&[0, 1, 2, 3]);
         view.hosts[2] = host(2, Standing::Dead, false);
         view.hosts[3] = candidate;
-        assert!(successors(&view).is_empty());
+        assert!(replacements(&view).is_empty());
     }
 }
 
 #[test]
 fn the_leader_does_not_remove_itself() {
-    let mut view = sound(&[0, 1, 2, 3]);
+    let mut view = healthy_view(&[0, 1, 2, 3]);
     view.hosts[0] = host(0, Standing::Alive, true);
     let all = members(&[0, 1, 2, 3]);
     assert_eq!(voters::removable_voter(&all, &view, TARGET), None);
