--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -41,17 +41,20 @@
 
 /// Time between two full exchanges while changes are still being spread.
 const BUSY_SYNC_PERIOD_MS: u64 = 10_000;
+/// Number of hosts that get a message in each gossip period.
 const GOSSIP_FANOUT: usize = 2;
 const GOSSIP_PERIOD_MS: u64 = 200;
 /// Time without any answer after which this host considers itself isolated.
 const ISOLATION_TIMEOUT_MS: u64 = 5_000;
 /// Time between two steps above which this process counts as paused.
 const PAUSE_AFTER_MS: u64 = 2_000;
+/// Number of hosts that are asked to probe a host that did not answer.
 const RELAYS_PER_PROBE: usize = 3;
 /// Time between two calls of dead hosts, and of seeds while other hosts are known.
 const RECONNECT_PERIOD_MS: u64 = 5_000;
 /// Time between two calls of the seeds while no other host is known.
 const SEED_PERIOD_MS: u64 = 500;
+/// Limit of the factor by which a host that seems to be slow itself lengthens its timeouts.
 const MAX_TIMEOUT_MULTIPLIER: u64 = 4;
 /// Time between two full exchanges while no change is being spread.
 const SYNC_PERIOD_MS: u64 = 2_000;
@@ -150,13 +153,13 @@
     pub fn step(&mut self, now: Instant, event: Event) -> Vec<Effect> {
         self.advance_clock(now);
         match event {
-            Event::Answered(call, message) => self.answered(call, message),
+            Event::Answered(call, message) => self.call_answered(call, message),
             Event::Called(caller, message) => self.called(caller, message),
             Event::Drain => self
                 .roster
                 .update_profile(|profile| profile.draining = true),
-            Event::Failed(call) => self.failed(call),
-            Event::Leave => self.leave(),
+            Event::Failed(call) => self.call_failed(call),
+            Event::Leave => self.announce_leave(),
             Event::Load(load) => self.roster.update_profile(|profile| profile.load = load),
             Event::Seeds(seeds) => self.seeds = seeds,
             Event::Tick => self.tick(),
@@ -222,7 +225,7 @@
         self.gossip();
     }
 
-    fn answered(&mut self, call: CallId, message: Message) {
+    fn call_answered(&mut self, call: CallId, message: Message) {
         let Some(call) = self.calls.remove(&call) else {
             return;
         };
@@ -232,12 +235,12 @@
         match (call.purpose, message.body) {
             (Purpose::Exchange, Body::PushPull(records)) => self.roster.merge_all(records),
             (Purpose::Exchange, _) => {}
-            (Purpose::Probe { host }, Body::Ack) if host == from => self.acked(&host, true),
-            (Purpose::Relay { host }, Body::Ack) => self.acked(&host, false),
+            (Purpose::Probe { host }, Body::Ack) if host == from => self.probe_acked(&host, true),
+            (Purpose::Relay { host }, Body::Ack) => self.probe_acked(&host, false),
             (Purpose::RelayedProbe { caller, host }, Body::Ack) if host == from => {
                 self.answer(caller, Body::Ack);
             }
-            (purpose, _) => self.unanswered(purpose),
+            (purpose, _) => self.handle_no_answer(purpose),
         }
         if message.digest != self.roster.digest() {
             self.sync(&from);
@@ -246,10 +249,11 @@
 
     fn called(&mut self, caller: InboundCallId, message: Message) {
         self.roster.merge(message.updates);
-        let disputed = self.roster.get(&message.from).is_some_and(|peer| {
+        let is_disputed = self.roster.get(&message.from).is_some_and(|peer| {
             peer.record.standing != Standing::Alive || peer.record.version > message.version
         });
-        if disputed {
+        if is_disputed {
+            // The sender gets the disputed record with the answer, and can refute it.
             self.roster.disseminate(&message.from);
         }
         match message.body {
@@ -270,13 +274,13 @@
         }
     }
 
-    fn failed(&mut self, call: CallId) {
+    fn call_failed(&mut self, call: CallId) {
         if let Some(call) = self.calls.remove(&call) {
-            self.unanswered(call.purpose);
+            self.handle_no_answer(call.purpose);
         }
     }
 
-    fn unanswered(&mut self, purpose: Purpose) {
+    fn handle_no_answer(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::Exchange => {}
             Purpose::Probe { host } | Purpose::Relay { host } => self.probe_failed(&host),
@@ -284,19 +288,21 @@
         }
     }
 
-    fn leave(&mut self) {
+    /// Tells a few hosts that this host leaves; they spread it.
+    fn announce_leave(&mut self) {
         self.roster.leave();
         for host in self.sample(GOSSIP_FANOUT * 2, Peer::is_present) {
             self.send(&host, Body::Probe, Purpose::Exchange);
         }
     }
 
-    fn acked(&mut self, host: &str, direct: bool) {
+    fn probe_acked(&mut self, host: &str, direct: bool) {
         self.probes.retain(|probe| probe.host != host);
         self.timeout_multiplier = (self.timeout_multiplier - 1).max(1);
         let was_direct = self.roster.get(host).is_some_and(Peer::is_direct);
         self.roster.record_ack(host, direct);
         if was_direct && !direct {
+            // Probed again next, to find out whether the direct link is cut.
             self.probe_round.push(host.to_owned());
         }
     }
@@ -317,6 +323,7 @@
         }
     }
 
+    /// Asks other hosts to probe the host of a probe that got no answer.
     fn probe_indirectly(&mut self, index: usize) {
         let host = self.probes[index].host.clone();
         let Some(address) = self.roster.get(&host).map(Peer::address) else {
@@ -345,6 +352,7 @@
         }
     }
 
+    /// Ends a probe that got no answer on any path, and suspects its host.
     fn suspect_unanswered(&mut self, index: usize) {
         let host = self.probes.swap_remove(index).host;
         let standing = self.roster.get(&host).map(|peer| peer.record.standing);
@@ -359,16 +367,18 @@
         self.timeout_multiplier = (self.timeout_multiplier + 1).min(MAX_TIMEOUT_MULTIPLIER);
     }
 
+    /// Handles the calls that have timed out.
     fn expire_calls(&mut self) {
         let now = self.now();
         let expired = self.calls.iter();
         let expired = expired.filter(|(_, call)| now.since(call.sent_at) > CALL_TIMEOUT_MS);
         let expired: Vec<CallId> = expired.map(|(call, _)| *call).collect();
         for call in expired {
-            self.failed(call);
+            self.call_failed(call);
         }
     }
 
+    /// Repeats late direct probes through relays, and suspects the hosts of late indirect ones.
     fn expire_probes(&mut self) {
         let timeout = PROBE_TIMEOUT_MS * self.timeout_multiplier;
         let now = self.now();
@@ -395,6 +405,8 @@
         }
     }
 
+    /// Detects that no host answers this one, or that one does again. An isolated host declares no
+    /// other host dead.
     fn check_isolation(&mut self) {
         let timed_out = self.now().since(self.last_answer) >= ISOLATION_TIMEOUT_MS;
         let isolated = timed_out && self.roster.present_count() > 0;
@@ -442,26 +454,28 @@
             return;
         }
         self.last_dead_call = self.now();
-        let dead = |peer: &Peer| peer.record.standing == Standing::Dead;
-        for host in self.sample(1, dead) {
+        let is_dead = |peer: &Peer| peer.record.standing == Standing::Dead;
+        for host in self.sample(1, is_dead) {
             let records = self.roster.records();
             self.send(&host, Body::PushPull(records), Purpose::Exchange);
         }
     }
 
+    /// Probes the next host of the round, and one suspected host.
     fn probe_next(&mut self) {
         if self.now().since(self.last_probe) < PROBE_PERIOD_MS {
             return;
         }
         self.last_probe = self.now();
-        let suspect = |peer: &Peer| peer.record.standing == Standing::Suspect;
-        let mut hosts = self.sample(1, suspect);
+        let is_suspect = |peer: &Peer| peer.record.standing == Standing::Suspect;
+        let mut hosts = self.sample(1, is_suspect);
         hosts.extend(self.next_in_round());
         for host in hosts {
             self.probe(host);
         }
     }
 
+    /// Returns the next present host of the round; starts a new round when one is complete.
     fn next_in_round(&mut self) -> Option<String> {
         for _ in 0..2 {
             while let Some(host) = self.probe_round.pop() {
@@ -480,8 +494,9 @@
         if self.probes.iter().any(|probe| probe.host == host) {
             return;
         }
-        let suspect = |peer: &Peer| peer.record.standing == Standing::Suspect;
-        if self.roster.get(&host).is_some_and(suspect) {
+        let is_suspect = |peer: &Peer| peer.record.standing == Standing::Suspect;
+        if self.roster.get(&host).is_some_and(is_suspect) {
+            // The host learns of the suspicion with the probe, and can refute it.
             self.roster.disseminate(&host);
         }
         self.probes.push(Probe {
@@ -507,6 +522,7 @@
         }
     }
 
+    /// Exchanges all records with `host`, at most once per period.
     fn sync(&mut self, host: &str) {
         let period = match self.roster.is_fully_disseminated() {
             false => BUSY_SYNC_PERIOD_MS,
@@ -555,6 +571,7 @@
         }
     }
 
+    /// Returns up to `count` random hosts that satisfy `accept`.
     fn sample(&mut self, count: usize, accept: impl Fn(&Peer) -> bool) -> Vec<String> {
         let accepted = self.roster.iter().filter(|peer| accept(peer));
         let accepted: Vec<&str> = accepted.map(|peer| peer.record.host.as_str()).collect();
--- a/crates/coordination/src/rollout.rs
+++ b/crates/coordination/src/rollout.rs
@@ -121,6 +121,7 @@
 #[derive(Clone, Debug, Default)]
 struct Engine {
     read_at: Instant,
+    /// Whether [`Step::Blocked`] was reported.
     blocked: bool,
     loading_since: Option<Instant>,
     /// Time before which the engine gets no order, after it refused one.
@@ -128,7 +129,10 @@
     next_read: Instant,
     phase: Phase,
     state: Option<EngineState>,
+    /// Whether [`Step::Stuck`] was reported for the load under way.
     stuck: bool,
+    /// Number of orders tried: 0 until the first order towards the goal, one more after each that
+    /// was refused.
     tries: u32,
 }
 
--- a/crates/coordination/src/roster.rs
+++ b/crates/coordination/src/roster.rs
@@ -207,12 +207,12 @@
         let Some(peer) = self.peers.get_mut(host) else {
             return;
         };
-        let before = peer.is_direct();
+        let was_direct = peer.is_direct();
         peer.indirect_acks = match direct {
             false => peer.indirect_acks.saturating_add(1),
             true => 0,
         };
-        match (before, peer.is_direct()) {
+        match (was_direct, peer.is_direct()) {
             (false, true) => self.record_change(Change::LinkMended(host.to_owned())),
             (true, false) => self.record_change(Change::LinkCut(host.to_owned())),
             _ => {}
@@ -275,8 +275,9 @@
         true
     }
 
-    /// Returns a version greater than `seen`. A run greater than this process's own was started
-    /// before a clock that went back, so the run grows and not only the incarnation.
+    /// Returns a version greater than `seen`. The run grows too if `seen` is of a greater run than
+    /// this process, because the clock went back between two starts or another process uses the
+    /// name of this host.
     fn next_version(&self, seen: Version) -> Version {
         match seen.run > self.me.version.run {
             false => Version {
@@ -299,6 +300,7 @@
         self.queue.add(&self.me.host);
     }
 
+    /// Takes a record that is new or supersedes the present one of the same host.
     fn merge_record(&mut self, record: Record) {
         if record.host == self.me.host {
             self.check_own_record(&record);
@@ -311,6 +313,7 @@
         }
     }
 
+    /// Notices a record by which others dispute the one of this host; see [`Roster::refute`].
     fn check_own_record(&mut self, record: &Record) {
         if !record.supersedes(&self.me) {
             return;
