--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -19,7 +19,7 @@
 use crate::server::Server;
 use crate::server::lock;
 use protocol::platform::Host;
-use protocol::platform::Listing;
+use protocol::platform::HostList;
 use protocol::platform::Standing;
 
 #[derive(Default)]
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct Inner {
     lag: Duration,
-    listings: VecDeque<(Instant, Listing)>,
+    listings: VecDeque<(Instant, HostList)>,
 }
 
 /// Runs a stand-in list until it is dropped.
@@ -68,7 +68,7 @@
         let mut inner = lock(&self.shared.inner);
         let now = Instant::now();
         if inner.listings.is_empty() {
-            inner.listings.push_back((now, Listing::default()));
+            inner.listings.push_back((now, HostList::default()));
         }
         let newest = inner.listings.back().map(|(_, listing)| listing.clone());
         let mut listing = newest.unwrap_or_default();
--- a/crates/hibiscushoist/src/addresses.rs
+++ b/crates/hibiscushoist/src/addresses.rs
@@ -9,7 +9,7 @@
 use crate::route;
 use crate::table::json;
 use crate::write;
-use protocol::address::Listing;
+use protocol::address::AddressList;
 
 /// Prints the entry addresses that a caller should use.
 ///
@@ -23,14 +23,14 @@
         "addresses [--server ADDRESS] [--key-file FILE] [--json]",
     )?;
     let client = arguments.client()?;
-    let listing = client.get::<Listing>(route::ADDRESSES).await?;
+    let listing = client.get::<AddressList>(route::ADDRESSES).await?;
     if arguments.json() {
         return write(out, &json(&listing));
     }
     write(out, &text(&listing))
 }
 
-fn text(listing: &Listing) -> String {
+fn text(listing: &AddressList) -> String {
     let mut text = String::new();
     for address in &listing.addresses {
         text.push_str(&format!("{address}\n"));
--- a/crates/hibiscushoist/src/demo_bench.rs
+++ b/crates/hibiscushoist/src/demo_bench.rs
@@ -149,7 +149,7 @@
     ///
     /// Returns the daemon's refusal.
     pub async fn leave(&self, upstream: &str) -> Result<Receipt, Report<Error>> {
-        let listing: protocol::operator::Listing = self.admin.get("/admin/table").await?;
+        let listing: protocol::operator::TableView = self.admin.get("/admin/table").await?;
         let mut rows = listing.rows.iter();
         let row = rows.find(|row| row.sheet == Sheet::Upstreams && row.row == upstream);
         let revision = row.map(|row| row.revision).unwrap_or_default();
--- a/crates/hibiscushoist/src/load.rs
+++ b/crates/hibiscushoist/src/load.rs
@@ -28,7 +28,7 @@
 use crate::tally::Group;
 use crate::tally::Tally;
 use crate::write;
-use protocol::address::Listing;
+use protocol::address::AddressList;
 
 const DEFAULT_WORKSPACE: &str = "default";
 const MICROS_PER_MILLI: u64 = 1000;
@@ -220,7 +220,7 @@
     }
 
     async fn list(&self) -> Result<Kept, Report<Error>> {
-        let listing = self.client.get::<Listing>(route::ADDRESSES).await?;
+        let listing = self.client.get::<AddressList>(route::ADDRESSES).await?;
         Ok(Kept {
             addresses: listing.addresses,
             until: Instant::now() + Duration::from_millis(listing.lifetime_ms),
--- a/crates/hibiscushoist/src/table.rs
+++ b/crates/hibiscushoist/src/table.rs
@@ -19,8 +19,8 @@
 use crate::watch;
 use crate::write;
 use protocol::operator::History;
-use protocol::operator::Listing;
-use protocol::operator::View;
+use protocol::operator::RowView;
+use protocol::operator::TableView;
 use state::column::Column;
 use state::edit::Action;
 use state::edit::Edit;
@@ -141,7 +141,7 @@
     if let Some(revision) = arguments.maybe_number("if-revision", 0..=u64::MAX)? {
         return Ok(revision);
     }
-    let listing = client.get::<Listing>(route::TABLE).await?;
+    let listing = client.get::<TableView>(route::TABLE).await?;
     let found = listing
         .rows
         .iter()
@@ -160,7 +160,7 @@
         [sheet, row] => (Some(parse_sheet(sheet)?), Some(row)),
         _ => return Err(usage("table get [SHEET [ROW]]")),
     };
-    let mut listing = arguments.client()?.get::<Listing>(route::TABLE).await?;
+    let mut listing = arguments.client()?.get::<TableView>(route::TABLE).await?;
     listing.rows.retain(|view| {
         sheet.is_none_or(|sheet| view.sheet == sheet) && row.is_none_or(|row| view.row == *row)
     });
@@ -195,7 +195,7 @@
     text
 }
 
-fn listing_text(listing: &Listing) -> String {
+fn listing_text(listing: &TableView) -> String {
     let mut grid = Grid::new(&["sheet", "row", "revision", "cells"]);
     for view in &listing.rows {
         grid.push([
@@ -208,7 +208,7 @@
     format!("table revision {}\n\n{}", listing.revision, grid.text())
 }
 
-fn cells_text(view: &View) -> String {
+fn cells_text(view: &RowView) -> String {
     let pairs = view.cells.iter().map(|(c, value)| format!("{c}={value}"));
     pairs.collect::<Vec<_>>().join(" ")
 }
--- a/crates/hibiscushoist/src/watch.rs
+++ b/crates/hibiscushoist/src/watch.rs
@@ -11,7 +11,7 @@
 use crate::route;
 use crate::write;
 use protocol::operator::History;
-use protocol::operator::Listing;
+use protocol::operator::TableView;
 
 /// Prints each change of the table as it comes into force.
 ///
@@ -51,6 +51,6 @@
 async fn start(arguments: &Arguments, client: &Client) -> Result<u64, Report<Error>> {
     match arguments.maybe_number("after", 0..=u64::MAX)? {
         Some(after) => Ok(after),
-        None => Ok(client.get::<Listing>(route::TABLE).await?.revision),
+        None => Ok(client.get::<TableView>(route::TABLE).await?.revision),
     }
 }
--- a/crates/hibiscushoist/tests/cli/load.rs
+++ b/crates/hibiscushoist/tests/cli/load.rs
@@ -9,7 +9,7 @@
 use crate::daemon::stdout;
 use hibiscushoist::mix::Mix;
 use hibiscushoist::mix::Name;
-use protocol::address::Listing;
+use protocol::address::AddressList;
 
 const WHOLE: &str = "data: {\"choices\":[{\"text\":\"a\"}]}\n\n\
     data: {\"choices\":[{\"text\":\"b\"}]}\n\n\
@@ -22,7 +22,7 @@
 
 fn listed(name: &str) -> Daemon {
     let daemon = Daemon::new(name);
-    let listing = Listing {
+    let listing = AddressList {
         addresses: vec![daemon.address()],
         lifetime_ms: 60_000,
     };
@@ -80,7 +80,7 @@
 #[test]
 fn an_address_that_is_away_is_passed_over() {
     let daemon = Daemon::new("load-away");
-    let listing = Listing {
+    let listing = AddressList {
         addresses: vec!["127.0.0.1:1".parse().unwrap(), daemon.address()],
         lifetime_ms: 60_000,
     };
--- a/crates/hibiscushoist/tests/cli/operator.rs
+++ b/crates/hibiscushoist/tests/cli/operator.rs
@@ -12,8 +12,8 @@
 use protocol::operator::Body;
 use protocol::operator::Failure;
 use protocol::operator::Kind;
-use protocol::operator::Listing;
-use protocol::operator::View;
+use protocol::operator::RowView;
+use protocol::operator::TableView;
 use protocol::operator::Voter;
 use protocol::operator::Voters;
 use state::column::Column;
@@ -24,15 +24,15 @@
 const EDITS: &str = "/admin/edits";
 const TABLE: &str = "/admin/table";
 
-fn listing() -> Listing {
+fn listing() -> TableView {
     let cells = BTreeMap::from([(Column::Version, "v3".to_owned())]);
-    let row = View {
+    let row = RowView {
         cells,
         revision: 7,
         row: "large".to_owned(),
         sheet: Sheet::Models,
     };
-    Listing {
+    TableView {
         revision: 9,
         rows: vec![row],
     }
@@ -69,7 +69,7 @@
 fn get_prints_json() {
     let daemon = Daemon::new("get-json").reply(TABLE, 200, &listing());
     let output = daemon.run(&["table", "get", "models", "large", "--json"]);
-    let printed: Listing = serde_json::from_str(&stdout(&output)).unwrap();
+    let printed: TableView = serde_json::from_str(&stdout(&output)).unwrap();
     assert_eq!(printed, listing());
 }
 
--- a/crates/hibiscushoistd/src/admin.rs
+++ b/crates/hibiscushoistd/src/admin.rs
@@ -16,7 +16,7 @@
 use crate::voter;
 use protocol::operator::Failure;
 use protocol::operator::Kind;
-use protocol::operator::Listing;
+use protocol::operator::TableView;
 use protocol::voter::VoterChange;
 use state::edit::Edit;
 use state::table;
@@ -56,7 +56,7 @@
         ("GET", ["explain", id]) => explain(context, id),
         ("GET", ["history"]) => history(context, after(&request)?).await,
         ("GET", ["status"]) => Ok(respond::json(200, &status::of(context))),
-        ("GET", ["table"]) => Ok(respond::json(200, &Listing::of(&context.table()))),
+        ("GET", ["table"]) => Ok(respond::json(200, &TableView::of(&context.table()))),
         ("GET", ["voters"]) => match context.voter.voters().await {
             Err(error) => Err(refused(context, &error)),
             Ok(voters) => Ok(respond::json(200, &voters)),
--- a/crates/hibiscushoistd/src/caller.rs
+++ b/crates/hibiscushoistd/src/caller.rs
@@ -13,7 +13,7 @@
 use crate::respond;
 use coordination::addresses;
 use coordination::addresses::Request as AddressRequest;
-use protocol::address::Listing;
+use protocol::address::AddressList;
 use protocol::refusal::Reason;
 use protocol::refusal::Refusal;
 use transport::http::Body;
@@ -33,7 +33,7 @@
             prefix: request.query_text("prefix").map(str::to_owned),
             workspace: auth::workspace(&request.headers, &context.table()).unwrap_or_default(),
         };
-        let listing = Listing {
+        let listing = AddressList {
             addresses: addresses::select(&context.view(), &ask),
             lifetime_ms: lifetime.as_millis() as u64,
         };
--- a/crates/hibiscushoistd/src/completions.rs
+++ b/crates/hibiscushoistd/src/completions.rs
@@ -31,8 +31,8 @@
 use crate::request::Request;
 use crate::respond;
 use crate::stream as relay;
-use protocol::completion::Answer;
 use protocol::completion::Choice;
+use protocol::completion::Completion;
 use protocol::completion::Delta;
 use protocol::completion::Message;
 use protocol::refusal;
@@ -115,8 +115,8 @@
         }
     }
 
-    fn answer(&self, object: &str, choice: Choice) -> Answer {
-        Answer {
+    fn answer(&self, object: &str, choice: Choice) -> Completion {
+        Completion {
             choices: vec![choice],
             id: self.id.clone(),
             model: self.model.clone(),
@@ -125,7 +125,7 @@
         }
     }
 
-    fn piece(&self, text: String, finish_reason: Option<String>) -> Answer {
+    fn piece(&self, text: String, finish_reason: Option<String>) -> Completion {
         let choice = Choice {
             finish_reason,
             ..Choice::default()
@@ -201,7 +201,7 @@
         }
     }
 
-    fn full(&self, text: String, finish: String) -> Answer {
+    fn full(&self, text: String, finish: String) -> Completion {
         let choice = Choice {
             finish_reason: Some(finish),
             ..Choice::default()
--- a/crates/hibiscushoistd/src/context.rs
+++ b/crates/hibiscushoistd/src/context.rs
@@ -25,7 +25,7 @@
 use crate::voter;
 use coordination::drain;
 use coordination::view::View;
-use protocol::platform::Listing;
+use protocol::platform::HostList;
 use state::table::Table;
 use state::time::Instant;
 use transport::clock::Clock;
@@ -67,7 +67,7 @@
     /// Holds the connections to other daemons, in a fleet of several hosts.
     pub pool: Option<Pool>,
     /// Shows the platform's list of upstream hosts.
-    pub platform: watch::Receiver<Arc<Listing>>,
+    pub platform: watch::Receiver<Arc<HostList>>,
     /// Holds the settings.
     pub settings: Arc<Settings>,
     /// Reaches the owners of requests that may crash upstreams.
--- a/crates/hibiscushoistd/src/platform.rs
+++ b/crates/hibiscushoistd/src/platform.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::watch;
 
-use protocol::platform::Listing;
+use protocol::platform::HostList;
 use transport::platform;
 use transport::upstream::Limits;
 
@@ -20,15 +20,15 @@
 
 /// Reads the list at `address` for as long as somebody looks at it; without an address the list
 /// stays empty.
-pub fn start(address: Option<SocketAddr>) -> watch::Receiver<Arc<Listing>> {
-    let (publish, listing) = watch::channel(Arc::new(Listing::default()));
+pub fn start(address: Option<SocketAddr>) -> watch::Receiver<Arc<HostList>> {
+    let (publish, listing) = watch::channel(Arc::new(HostList::default()));
     if let Some(address) = address {
         tokio::spawn(read(address, publish));
     }
     listing
 }
 
-async fn read(address: SocketAddr, publish: watch::Sender<Arc<Listing>>) {
+async fn read(address: SocketAddr, publish: watch::Sender<Arc<HostList>>) {
     while !publish.is_closed() {
         if let Ok(listing) = platform::hosts(address, LIMITS).await {
             publish.send_if_modified(|shown| {
--- a/crates/hibiscushoistd/src/service.rs
+++ b/crates/hibiscushoistd/src/service.rs
@@ -29,7 +29,7 @@
 use coordination::order::Reply;
 use coordination::retry;
 use protocol::header;
-use protocol::platform::Listing;
+use protocol::platform::HostList;
 use protocol::platform::Standing;
 use protocol::refusal::NotRun;
 use protocol::refusal::Reason;
@@ -314,7 +314,7 @@
 }
 
 /// Lists the upstreams of the service that take work, from a random one on.
-fn upstreams(table: &Table, listing: &Listing, name: &str) -> Result<Vec<Upstream>, Reason> {
+fn upstreams(table: &Table, listing: &HostList, name: &str) -> Result<Vec<Upstream>, Reason> {
     let rows = table.sheet(Sheet::Upstreams).filter(|(_, row)| {
         row.text(Column::Type) == Some(SERVICE) && row.text(Column::Service) == Some(name)
     });
--- a/crates/hibiscushoistd/src/stream.rs
+++ b/crates/hibiscushoistd/src/stream.rs
@@ -30,7 +30,7 @@
 use coordination::retry::Denial;
 use coordination::stream::Assembler;
 use coordination::stream::Limits;
-use protocol::completion::Details;
+use protocol::completion::PromptTokensDetails;
 use protocol::completion::Usage;
 use protocol::refusal::NotRun;
 use protocol::refusal::Reason;
@@ -131,7 +131,7 @@
         Usage {
             completion_tokens,
             prompt_tokens,
-            prompt_tokens_details: Details {
+            prompt_tokens_details: PromptTokensDetails {
                 cached_tokens: cached_tokens.min(prompt_tokens),
             },
             total_tokens: prompt_tokens + completion_tokens,
--- a/crates/protocol/src/address.rs
+++ b/crates/protocol/src/address.rs
@@ -7,7 +7,7 @@
 
 /// Lists the entry addresses that a caller should use, the preferred one first.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listing {
+pub struct AddressList {
     /// Lists the addresses.
     pub addresses: Vec<SocketAddr>,
     /// Gives how long the caller may keep the answer, in milliseconds.
--- a/crates/protocol/src/completion.rs
+++ b/crates/protocol/src/completion.rs
@@ -55,7 +55,7 @@
 
 /// Holds one piece of a streamed answer, or a whole one.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Answer {
+pub struct Completion {
     /// Holds the alternatives; the daemon asks for one.
     pub choices: Vec<Choice>,
     /// Names the request.
@@ -78,14 +78,14 @@
     pub prompt_tokens: u64,
     /// Tells more of the prompt.
     #[serde(default)]
-    pub prompt_tokens_details: Details,
+    pub prompt_tokens_details: PromptTokensDetails,
     /// Counts both.
     pub total_tokens: u64,
 }
 
 /// Tells more of the tokens of a prompt.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Details {
+pub struct PromptTokensDetails {
     /// Counts the tokens that the engine held in its cache.
     #[serde(default)]
     pub cached_tokens: u64,
--- a/crates/protocol/src/operator.rs
+++ b/crates/protocol/src/operator.rs
@@ -17,7 +17,7 @@
 
 /// Shows one row with its cells as text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct View {
+pub struct RowView {
     /// Holds the filled cells.
     pub cells: BTreeMap<Column, String>,
     /// Gives the table revision of the last change to the row.
@@ -28,7 +28,7 @@
     pub sheet: Sheet,
 }
 
-impl View {
+impl RowView {
     /// Shows `row` under `name`.
     pub fn of(name: &row::Name, row: &Row) -> Self {
         let texts = row.cells.iter().map(|(c, cell)| (*c, cell.to_string()));
@@ -43,21 +43,21 @@
 
 /// Shows the whole table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listing {
+pub struct TableView {
     /// Gives the revision of the newest change.
     pub revision: u64,
     /// Lists the rows in order of sheet and name.
-    pub rows: Vec<View>,
+    pub rows: Vec<RowView>,
 }
 
-impl Listing {
+impl TableView {
     /// Shows `table`.
     pub fn of(table: &Table) -> Self {
         Self {
             revision: table.revision(),
             rows: table
                 .iter()
-                .map(|(name, row)| View::of(name, row))
+                .map(|(name, row)| RowView::of(name, row))
                 .collect(),
         }
     }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -10,7 +10,7 @@
 
 /// Lists the hosts as the platform saw them a while ago.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listing {
+pub struct HostList {
     /// Numbers the list; a later one has a greater number.
     pub edition: u64,
     /// Lists the hosts.
@@ -36,7 +36,7 @@
     Live,
 }
 
-impl Listing {
+impl HostList {
     /// Returns what the list says of a host, if it names it.
     pub fn standing(&self, address: IpAddr) -> Option<Standing> {
         let host = self.hosts.iter().find(|host| host.address == address);
--- a/crates/protocol/tests/decoders.rs
+++ b/crates/protocol/tests/decoders.rs
@@ -79,7 +79,7 @@
     #[test]
     fn json_of_any_kind_is_read_the_same_again_or_refused(value in json()) {
         prop_assert!(same::<completion::Request>(&value));
-        prop_assert!(same::<completion::Answer>(&value));
+        prop_assert!(same::<completion::Completion>(&value));
         prop_assert!(same::<engine::Request>(&value));
         prop_assert!(same::<engine::Piece>(&value));
         prop_assert!(same::<engine::Load>(&value));
--- a/crates/transport/src/platform.rs
+++ b/crates/transport/src/platform.rs
@@ -11,14 +11,14 @@
 use crate::upstream::Format;
 use crate::upstream::Limits;
 use protocol::platform::HOSTS_PATH;
-use protocol::platform::Listing;
+use protocol::platform::HostList;
 
 /// Reads the list at `address`.
 ///
 /// # Errors
 ///
 /// Returns the error of the exchange.
-pub async fn hosts(address: SocketAddr, limits: Limits) -> Result<Listing, Error> {
+pub async fn hosts(address: SocketAddr, limits: Limits) -> Result<HostList, Error> {
     let format = |source: Format| Error::Format { address, source };
     let request = Request::get(HOSTS_PATH).body(Full::<Bytes>::default());
     let request = request.map_err(|e| format(e.into()))?;
