--- a/crates/coordination/examples/measure/run.rs
+++ b/crates/coordination/examples/measure/run.rs
@@ -431,8 +431,8 @@
         }
         let named = |change| match change {
             Change::Cleared => Change::Cleared,
-            Change::Removed(block) => Change::Removed(block.under("v1")),
-            Change::Stored(block) => Change::Stored(block.under("v1")),
+            Change::Removed(block) => Change::Removed(block.with_version("v1")),
+            Change::Stored(block) => Change::Stored(block.with_version("v1")),
         };
         let batch = Batch {
             changes: self.store.publish().into_iter().map(named).collect(),
--- a/crates/coordination/src/upstream_pool.rs
+++ b/crates/coordination/src/upstream_pool.rs
@@ -521,7 +521,11 @@
     directory: &CacheDirectory,
     now: Instant,
 ) -> u32 {
-    let versioned: Vec<BlockHash> = request.blocks.iter().map(|b| b.under(version)).collect();
+    let versioned: Vec<BlockHash> = request
+        .blocks
+        .iter()
+        .map(|b| b.with_version(version))
+        .collect();
     directory.cached_prefixes(&versioned, now).cached(index)
 }
 
--- a/crates/coordination/tests/placement.rs
+++ b/crates/coordination/tests/placement.rs
@@ -165,7 +165,10 @@
         let mut desk = Desk::new(&["a"]);
         let cells = [(Column::Address, "127.0.0.1:2"), (Column::Type, "kv_store")];
         desk.row(Sheet::Upstreams, "kept", &cells);
-        let named: Vec<_> = prompt("maps", 6).iter().map(|b| b.under("v1")).collect();
+        let named: Vec<_> = prompt("maps", 6)
+            .iter()
+            .map(|b| b.with_version("v1"))
+            .collect();
         desk.cached("kept", 1, 0, &named);
         desk.serve("a", 1, version);
         let grant = grants(&desk.ask(ask(1, Rank::Urgent, "maps", "c", 6))).remove(0);
--- a/crates/hibiscushoistd/src/attempt.rs
+++ b/crates/hibiscushoistd/src/attempt.rs
@@ -268,7 +268,12 @@
     fn request(&self, resume: ResumePoint) -> engine::Request {
         let ask = &self.job.ask;
         let version = self.grant.version.as_deref();
-        let blocks = version.map(|v| ask.blocks.iter().map(|block| block.under(v)).collect());
+        let blocks = version.map(|v| {
+            ask.blocks
+                .iter()
+                .map(|block| block.with_version(v))
+                .collect()
+        });
         let resume = (resume.offset > 0).then_some(engine::Resume {
             offset: resume.offset,
             text: resume.text,
--- a/crates/hibiscushoistd/src/feed.rs
+++ b/crates/hibiscushoistd/src/feed.rs
@@ -200,7 +200,10 @@
         self.after = snapshot.seq;
         self.incarnation = Some(snapshot.incarnation);
         let version = &snapshot.version;
-        let blocks = snapshot.blocks.iter().map(|b| b.block.under(version));
+        let blocks = snapshot
+            .blocks
+            .iter()
+            .map(|b| b.block.with_version(version));
         self.tell(Event::Snapshot {
             snapshot: Snapshot {
                 blocks: blocks.collect(),
@@ -286,7 +289,7 @@
 }
 
 fn change(event: &engine::Event, version: &str) -> Option<Change> {
-    let block = event.block.map(|block| block.under(version));
+    let block = event.block.map(|block| block.with_version(version));
     match event.change {
         engine::Change::Cleared => Some(Change::Cleared),
         engine::Change::Evicted => block.map(Change::Removed),
--- a/crates/hibiscushoistd/src/import.rs
+++ b/crates/hibiscushoistd/src/import.rs
@@ -42,7 +42,7 @@
     let (Some(store), Some(address)) = (store, source.address(Column::Address)) else {
         return;
     };
-    let names = ask.blocks.iter().map(|block| block.under(version));
+    let names = ask.blocks.iter().map(|block| block.with_version(version));
     let transfer = engine::Transfer {
         blocks: names.take(import.blocks as usize).collect(),
         salt: ask.workspace.clone(),
--- a/crates/hibiscushoistd/src/job.rs
+++ b/crates/hibiscushoistd/src/job.rs
@@ -25,7 +25,7 @@
 const LONGEST_DEADLINE_MS: u64 = 86_400_000;
 const MOST_TOKENS: u64 = 1 << 20;
 
-/// Stands for a block's name without a weights version; see [`BlockHash::under`].
+/// Stands for a block's name without a weights version; see [`BlockHash::with_version`].
 const NO_VERSION: &str = "";
 
 /// Names the shape of the answer that a caller wants.
--- a/crates/hibiscushoistd/tests/imports.rs
+++ b/crates/hibiscushoistd/tests/imports.rs
@@ -80,7 +80,7 @@
     }
 
     async fn complete(&self, engine: &Engine) {
-        let blocks = self.ask.blocks.iter().map(|block| block.under("v1"));
+        let blocks = self.ask.blocks.iter().map(|block| block.with_version("v1"));
         let request = engine::Request {
             cache: engine::Cache {
                 block_bytes: 16,
@@ -131,7 +131,11 @@
 #[tokio::test]
 async fn blocks_of_the_store_come_from_there() {
     let bench = Bench::start().await;
-    let blocks = bench.ask.blocks.iter().map(|block| block.under("v1"));
+    let blocks = bench
+        .ask
+        .blocks
+        .iter()
+        .map(|block| block.with_version("v1"));
     let transfer = engine::Transfer {
         blocks: blocks.collect(),
         salt: "w".to_owned(),
--- a/crates/state/src/ident.rs
+++ b/crates/state/src/ident.rs
@@ -47,7 +47,7 @@
     /// Directories hold blocks without a version, so that a roll-out does not hide what the
     /// upstreams of the older weights still hold; upstreams and stores only ever see names with
     /// one. Applied again with the same version, it returns the name without a version.
-    pub fn under(self, version: &str) -> Self {
+    pub fn with_version(self, version: &str) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(Self::VERSION_CONTEXT);
         hasher.update(version.as_bytes());
         Self(self.0 ^ Self::truncate(&hasher.finalize()).0)
--- a/crates/state/tests/ident.rs
+++ b/crates/state/tests/ident.rs
@@ -30,7 +30,7 @@
 #[test]
 fn versions_name_a_block_apart_and_back() {
     let block = BlockHash::root("maps", "m", "").child(PROMPT);
-    assert_ne!(block.under("v1"), block.under("v2"));
-    assert_ne!(block.under("v1"), block);
-    assert_eq!(block.under("v1").under("v1"), block);
+    assert_ne!(block.with_version("v1"), block.with_version("v2"));
+    assert_ne!(block.with_version("v1"), block);
+    assert_eq!(block.with_version("v1").with_version("v1"), block);
 }
