--- a/crates/coordination/tests/faults.rs
+++ b/crates/coordination/tests/faults.rs
@@ -36,7 +36,8 @@
 use state::time::Instant;
 
 const EDITS: u64 = 40;
-const ELECTION_LIMIT_MS: u64 = 2_000;
+/// Time within which the group must have a leader again.
+const ELECTION_MS: u64 = 2_000;
 const CALL_TIMEOUT_MS: u64 = 2_000;
 const REPAIR_LIMIT_MS: u64 = 10_000;
 const SEEDS: u64 = 20;
@@ -78,43 +79,43 @@
 
 const FAULT_CASES: &[FaultCase] = &[
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| sim.crash(leader(sim)),
         name: "the leader crashes",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| sim.crash(follower(sim)),
         name: "a follower crashes",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| sim.cut_links(leader(sim), true, true),
         name: "the leader is cut off",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| sim.cut_links(leader(sim), true, false),
         name: "the leader cannot send",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| sim.cut_links(leader(sim), false, true),
         name: "the leader cannot receive",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| sim.cut_links(follower(sim), false, true),
         name: "a follower cannot receive and must not depose the leader",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Waits(ELECTION_LIMIT_MS),
+        expected: Expected::Waits(ELECTION_MS),
         fault: |sim| {
             sim.crash(follower(sim));
             sim.crash(leader(sim));
@@ -123,19 +124,19 @@
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Waits(ELECTION_LIMIT_MS),
+        expected: Expected::Waits(ELECTION_MS),
         fault: |sim| (0..3).for_each(|host| sim.crash(host)),
         name: "all crash at once",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| sim.lose_disk(leader(sim)),
         name: "the leader's disk is lost and replaced by an empty one",
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| {
             sim.lose_disk(follower(sim));
             sim.run_until(REPAIR_LIMIT_MS, Sim::has_recovered);
@@ -145,7 +146,7 @@
         repair: start_all,
     },
     FaultCase {
-        expected: Expected::Serves(ELECTION_LIMIT_MS),
+        expected: Expected::Serves(ELECTION_MS),
         fault: |sim| {
             sim.lose_disk(follower(sim));
             sim.run_until(REPAIR_LIMIT_MS, Sim::has_recovered);
@@ -207,14 +208,14 @@
             let limit = match row.expected {
                 Expected::Serves(limit) => limit,
                 Expected::Waits(limit) => {
-                    sim.run(ELECTION_LIMIT_MS);
+                    sim.run(ELECTION_MS);
                     let leads = |host: &raft_sim::Host| {
                         let raft = host.raft.as_ref();
                         raft.is_some_and(|raft| raft.role() == Role::Leader)
                     };
                     assert!(!sim.hosts.iter().any(leads), "{}: seed {seed}", row.name);
                     (row.repair)(&mut sim);
-                    limit + ELECTION_LIMIT_MS
+                    limit + ELECTION_MS
                 }
             };
             assert_eq!(sim.execute(100, &edit(EDITS)), accepted(EDITS + 1));
@@ -240,9 +241,7 @@
         let mut sim = group_with_edits(seed);
         let old = leader(&sim);
         sim.cut_links(old, true, true);
-        sim.run_until(ELECTION_LIMIT_MS, |sim| {
-            sim.leader().is_some_and(|l| l != old)
-        });
+        sim.run_until(ELECTION_MS, |sim| sim.leader().is_some_and(|l| l != old));
         for id in 200..210 {
             sim.request(old, id, Request::Read);
             sim.run(20);
--- a/crates/coordination/tests/gossip_sim/mod.rs
+++ b/crates/coordination/tests/gossip_sim/mod.rs
@@ -1,4 +1,4 @@
-//! A seeded schedule of hosts, links and faults for the tests of the failure detector.
+//! Simulation of a fleet of failure detectors in virtual time; delays follow a seeded generator.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,30 +25,33 @@
 
 const LATENCY_MS: std::ops::RangeInclusive<u64> = 1..=3;
 
-/// Tells how a host fares.
+/// State of a simulated host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HostState {
-    /// Runs and answers.
+    /// Runs and answers calls.
     Runs,
-    /// Stands still and keeps its state.
+    /// Does nothing until it runs again, and keeps its memory; calls to it get no answer.
     Frozen,
-    /// Refuses connections.
+    /// Has no process; calls to it fail at once.
     Killed,
 }
 
-struct Slot {
+/// A host with its failure detector.
+struct SimHost {
     detector: Membership,
-    fate: HostState,
+    state: HostState,
+    /// Number of the present run, which grows with each restart.
     runs: u64,
 }
 
+/// What is delivered to a host at a scheduled time.
 enum Delivery {
     Answer {
         call: CallId,
         message: Message,
         from: usize,
     },
-    Ask {
+    Call {
         call: CallId,
         from: usize,
         message: Message,
@@ -57,12 +60,16 @@
     Tick,
 }
 
-/// Runs a fleet in virtual time.
+/// A simulated fleet.
 pub struct Fleet {
-    asked: BTreeMap<u64, (usize, CallId)>,
+    /// Calling host and its id of the call, by inbound call.
+    inbound_calls: BTreeMap<u64, (usize, CallId)>,
+    /// Size of all messages sent, in bytes.
     pub bytes: u64,
+    /// Time, observing host and change of each change of a view.
     pub changes: Vec<(u64, usize, Change)>,
-    cuts: BTreeSet<(usize, usize)>,
+    /// Pairs of sender and receiver whose messages are dropped.
+    cut_links: BTreeSet<(usize, usize)>,
     domains: usize,
     pub messages: u64,
     now: u64,
@@ -70,17 +77,17 @@
     rng: ChaCha8Rng,
     seed: u64,
     sequence: u64,
-    slots: Vec<Slot>,
+    hosts: Vec<SimHost>,
 }
 
 impl Fleet {
-    /// Starts `hosts` hosts in three failure domains, the first three being the seeds of all.
+    /// Starts `hosts` hosts in three failure domains; the first three hosts are the seeds of all.
     pub fn start(hosts: usize, seed: u64) -> Self {
         let mut fleet = Self {
-            asked: BTreeMap::new(),
+            inbound_calls: BTreeMap::new(),
             bytes: 0,
             changes: Vec::new(),
-            cuts: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             domains: 3,
             messages: 0,
             now: 1_000,
@@ -88,52 +95,52 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             seed,
             sequence: 0,
-            slots: Vec::new(),
+            hosts: Vec::new(),
         };
-        for place in 0..hosts {
-            let detector = fleet.detector(place, 1);
-            fleet.slots.push(Slot {
+        for index in 0..hosts {
+            let detector = fleet.detector(index, 1);
+            fleet.hosts.push(SimHost {
                 detector,
-                fate: HostState::Runs,
+                state: HostState::Runs,
                 runs: 1,
             });
             let offset = fleet.rng.random_range(0..TICK_MS);
-            fleet.schedule(offset, place, Delivery::Tick);
+            fleet.schedule(offset, index, Delivery::Tick);
         }
         fleet
     }
 
-    fn detector(&self, place: usize, run: u64) -> Membership {
+    fn detector(&self, index: usize, run: u64) -> Membership {
         Membership::new(Options {
-            host: name(place),
-            profile: profile(place, self.domains),
+            host: name(index),
+            profile: profile(index, self.domains),
             run,
             seed: self
                 .seed
                 .wrapping_mul(1_000)
-                .wrapping_add(place as u64 * 7 + run),
+                .wrapping_add(index as u64 * 7 + run),
             seeds: (0..3).map(address).collect(),
         })
     }
 
-    /// Returns the view of the host at a place.
-    pub fn view(&self, place: usize) -> View {
-        self.slots[place].detector.view()
+    /// Returns the view that the host at `index` has of the fleet.
+    pub fn view(&self, index: usize) -> View {
+        self.hosts[index].detector.view()
     }
 
-    /// Returns what the host at `observer` holds the host at `place` to be.
-    pub fn standing(&self, observer: usize, place: usize) -> Option<Standing> {
+    /// Returns the standing of the host at `index` in the view of the host at `observer`.
+    pub fn standing(&self, observer: usize, index: usize) -> Option<Standing> {
         let view = self.view(observer);
-        view.get(name(place)).map(|member| member.record.standing)
+        view.get(name(index)).map(|member| member.record.standing)
     }
 
-    /// Returns whether every running host holds exactly the running hosts to be present and
-    /// suspects none.
+    /// Returns whether in every running host's view exactly the running hosts are present and none
+    /// is suspected.
     pub fn has_converged(&self) -> bool {
         let running: Vec<usize> = self.running();
-        let digest = |place: &usize| self.slots[*place].detector.digest();
+        let digest = |index: &usize| self.hosts[*index].detector.digest();
         let first = digest(&running[0]);
-        if !running.iter().all(|place| digest(place) == first) {
+        if !running.iter().all(|index| digest(index) == first) {
             return false;
         }
         let view = self.view(running[0]);
@@ -144,81 +151,85 @@
         present == expected && view.count(Standing::Suspect) == 0
     }
 
-    /// Lists the places of the running hosts.
+    /// Returns the indices of the running hosts.
     pub fn running(&self) -> Vec<usize> {
-        let places = 0..self.slots.len();
-        places
-            .filter(|p| self.slots[*p].fate == HostState::Runs)
+        let indices = 0..self.hosts.len();
+        indices
+            .filter(|i| self.hosts[*i].state == HostState::Runs)
             .collect()
     }
 
-    /// Changes how a host fares.
-    pub fn set_state(&mut self, place: usize, fate: HostState) {
-        self.slots[place].fate = fate;
+    /// Sets the state of a host.
+    pub fn set_state(&mut self, index: usize, state: HostState) {
+        self.hosts[index].state = state;
     }
 
-    /// Starts a new process on a host, which knows nothing.
-    pub fn restart(&mut self, place: usize) {
-        let runs = self.slots[place].runs + 1;
-        self.slots[place] = Slot {
-            detector: self.detector(place, runs),
-            fate: HostState::Runs,
+    /// Starts a new process on a host, with empty memory.
+    pub fn restart(&mut self, index: usize) {
+        let runs = self.hosts[index].runs + 1;
+        self.hosts[index] = SimHost {
+            detector: self.detector(index, runs),
+            state: HostState::Runs,
             runs,
         };
     }
 
-    /// Starts a process on a host whose clock lies behind that of its earlier run.
-    pub fn restart_with_old_clock(&mut self, place: usize) {
-        self.slots[place].detector = self.detector(place, 0);
-        self.slots[place].fate = HostState::Runs;
+    /// Starts a new process on a host whose clock is behind that of the earlier run.
+    pub fn restart_with_old_clock(&mut self, index: usize) {
+        self.hosts[index].detector = self.detector(index, 0);
+        self.hosts[index].state = HostState::Runs;
     }
 
-    /// Drops what goes from one host to another.
+    /// Drops all messages from one host to another.
     pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
-    /// Drops what goes between two sets of hosts.
-    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
-        for (a, b) in one.iter().flat_map(|a| other.iter().map(move |b| (*a, *b))) {
+    /// Drops all messages between two sets of hosts.
+    pub fn partition(&mut self, left: &[usize], right: &[usize]) {
+        for (a, b) in left
+            .iter()
+            .flat_map(|a| right.iter().map(move |b| (*a, *b)))
+        {
             self.cut(a, b);
             self.cut(b, a);
         }
     }
 
-    /// Mends all links.
+    /// Restores all links.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.cut_links.clear();
     }
 
-    /// Hands an event to a host.
-    pub fn deliver_event(&mut self, place: usize, event: Event) {
-        let effects = self.slots[place].detector.step(Instant(self.now), event);
-        self.apply(place, effects);
+    /// Delivers an event to a host.
+    pub fn deliver_event(&mut self, index: usize, event: Event) {
+        let effects = self.hosts[index].detector.step(Instant(self.now), event);
+        self.apply(index, effects);
     }
 
-    /// Hands a message of another host to a host and drops the answer.
-    pub fn deliver_message(&mut self, place: usize, message: Message) {
+    /// Delivers a call of another host to a host; the answer reaches no pending call.
+    pub fn deliver_message(&mut self, index: usize, message: Message) {
         self.sequence += 1;
-        self.asked.insert(self.sequence, (place, CallId(u64::MAX)));
-        self.deliver_event(place, Event::Called(InboundCallId(self.sequence), message));
+        self.inbound_calls
+            .insert(self.sequence, (index, CallId(u64::MAX)));
+        self.deliver_event(index, Event::Called(InboundCallId(self.sequence), message));
     }
 
-    /// Lets `millis` pass.
+    /// Runs the simulation for `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         let until = self.now + millis;
         while let Some((&(at, sequence), _)) = self.queue.first_key_value() {
             if at > until {
                 break;
             }
-            let (place, delivery) = self.queue.remove(&(at, sequence)).unwrap();
+            let (index, delivery) = self.queue.remove(&(at, sequence)).unwrap();
             self.now = at;
-            self.deliver(place, delivery);
+            self.deliver(index, delivery);
         }
         self.now = until;
     }
 
-    /// Lets time pass until `done` holds, at most `limit` milliseconds; returns how long it took.
+    /// Runs until `done` holds, for at most `limit` milliseconds, and returns how long it took.
     pub fn run_until(&mut self, limit: u64, done: impl Fn(&Self) -> bool) -> Option<u64> {
         let start = self.now;
         while !done(self) {
@@ -230,20 +241,20 @@
         Some(self.now - start)
     }
 
-    fn schedule(&mut self, delay: u64, place: usize, delivery: Delivery) {
+    fn schedule(&mut self, delay: u64, index: usize, delivery: Delivery) {
         self.sequence += 1;
         let key = (self.now + delay, self.sequence);
-        self.queue.insert(key, (place, delivery));
+        self.queue.insert(key, (index, delivery));
     }
 
-    fn deliver(&mut self, place: usize, delivery: Delivery) {
+    fn deliver(&mut self, index: usize, delivery: Delivery) {
         if let Delivery::Tick = delivery {
-            self.schedule(TICK_MS, place, Delivery::Tick);
+            self.schedule(TICK_MS, index, Delivery::Tick);
         }
-        if self.slots[place].fate != HostState::Runs {
-            if let (Delivery::Ask { call, from, .. }, HostState::Killed) =
-                (delivery, self.slots[place].fate)
-                && !self.cuts.contains(&(place, from))
+        if self.hosts[index].state != HostState::Runs {
+            if let (Delivery::Call { call, from, .. }, HostState::Killed) =
+                (delivery, self.hosts[index].state)
+                && !self.cut_links.contains(&(index, from))
             {
                 self.schedule(1, from, Delivery::Fail(call));
             }
@@ -255,32 +266,32 @@
                 message,
                 from,
             } => {
-                if !self.cuts.contains(&(from, place)) {
-                    self.deliver_event(place, Event::Answered(call, message));
+                if !self.cut_links.contains(&(from, index)) {
+                    self.deliver_event(index, Event::Answered(call, message));
                 }
             }
-            Delivery::Ask {
+            Delivery::Call {
                 call,
                 from,
                 message,
             } => {
                 self.sequence += 1;
-                self.asked.insert(self.sequence, (from, call));
-                self.deliver_event(place, Event::Called(InboundCallId(self.sequence), message));
+                self.inbound_calls.insert(self.sequence, (from, call));
+                self.deliver_event(index, Event::Called(InboundCallId(self.sequence), message));
             }
-            Delivery::Fail(call) => self.deliver_event(place, Event::Failed(call)),
-            Delivery::Tick => self.deliver_event(place, Event::Tick),
+            Delivery::Fail(call) => self.deliver_event(index, Event::Failed(call)),
+            Delivery::Tick => self.deliver_event(index, Event::Tick),
         }
     }
 
-    fn apply(&mut self, place: usize, effects: Vec<Effect>) {
+    fn apply(&mut self, index: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Answer(InboundCallId(asked), message) => {
+                Effect::Answer(InboundCallId(inbound), message) => {
                     self.count(&message);
-                    let (to, call) = self.asked.remove(&asked).unwrap();
+                    let (to, call) = self.inbound_calls.remove(&inbound).unwrap();
                     let delay = self.rng.random_range(LATENCY_MS);
-                    let from = place;
+                    let from = index;
                     self.schedule(
                         delay,
                         to,
@@ -298,14 +309,14 @@
                     ..
                 } => {
                     self.count(&message);
-                    let to = (0..self.slots.len()).find(|p| address(*p) == to).unwrap();
+                    let to = (0..self.hosts.len()).find(|i| address(*i) == to).unwrap();
                     let delay = self.rng.random_range(LATENCY_MS);
-                    if !self.cuts.contains(&(place, to)) {
-                        let from = place;
+                    if !self.cut_links.contains(&(index, to)) {
+                        let from = index;
                         self.schedule(
                             delay,
                             to,
-                            Delivery::Ask {
+                            Delivery::Call {
                                 call,
                                 from,
                                 message,
@@ -313,7 +324,7 @@
                         );
                     }
                 }
-                Effect::Changed(change) => self.changes.push((self.now, place, change)),
+                Effect::Changed(change) => self.changes.push((self.now, index, change)),
             }
         }
     }
--- a/crates/coordination/tests/upstream_fixtures/mod.rs
+++ b/crates/coordination/tests/upstream_fixtures/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams for the tests of routed services.
+//! Fleets of engines and their loads, for the tests of routed services.
 
 #![allow(dead_code)]
 
@@ -12,7 +12,7 @@
 use coordination::upstream::Upstream;
 use coordination::upstream_load::UpstreamLoad;
 
-/// Returns an address that differs by `id`.
+/// Returns an address that is derived from `id`.
 pub fn address(id: &str) -> SocketAddr {
     let sum = id
         .bytes()
@@ -20,7 +20,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1_000 + sum as u16))
 }
 
-/// Returns an engine as the platform's list shows it.
+/// Returns an engine as an entry of the platform's list.
 pub fn listed_upstream(id: &str, model: &str, version: u64) -> ListedUpstream {
     ListedUpstream {
         address: address(id),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns a fleet of engines that are ready, with the version of their weights.
+/// Returns a fleet of ready engines from their ids and weights versions.
 pub fn fleet(engines: &[(&str, u64)]) -> Fleet {
     let upstream = |(id, version): &(&str, u64)| Upstream {
         address: address(id),
@@ -52,14 +52,14 @@
     }
 }
 
-/// Returns a fleet of engines that are ready, named `e0` and on.
+/// Returns a fleet of `count` ready engines with the ids `e0`, `e1` and so on.
 pub fn engines(count: usize) -> Fleet {
     let names: Vec<String> = (0..count).map(|engine| format!("e{engine}")).collect();
     let engines: Vec<(&str, u64)> = names.iter().map(|name| (name.as_str(), 1)).collect();
     fleet(&engines)
 }
 
-/// Returns the load of an engine that has so many tokens to read for one request.
+/// Returns the load of an engine with one request that has `tokens` tokens of pending prefill.
 pub fn pending_prefill(tokens: u64) -> UpstreamLoad {
     UpstreamLoad {
         long_prompt_tokens: 0,
