--- a/crates/coordination/src/choice.rs
+++ b/crates/coordination/src/choice.rs
@@ -1,4 +1,4 @@
-//! Where a routed request goes, or why it goes nowhere.
+//! The outcome of choosing an upstream for a routed request: a choice or a refusal.
 
 use std::net::SocketAddr;
 
@@ -9,49 +9,49 @@
 
 use crate::upstream::Upstream;
 
-/// Tells where a request goes.
+/// The upstream of a request, with the data that its attempt needs.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Choice {
-    /// Gives the time that the work ahead of the request was expected to take, in milliseconds.
+    /// Time that the work ahead of the request is expected to take, in milliseconds.
     pub backlog_ms: u64,
-    /// Tells where the engine fetches the shared prompt if it lacks it.
+    /// Address from which the engine fetches the shared prefix if it lacks it.
     pub fetch_from: Option<SocketAddr>,
-    /// Numbers the choice where the leading host made it.
+    /// ID of the assignment, if the leading host made the choice.
     pub assignment_id: Option<u64>,
-    /// Gives the order in which the engine admits the request among others.
+    /// Rank of the request in the queue of the engine.
     pub rank: Rank,
-    /// Gives the time that reading its prompt was expected to take, in milliseconds.
+    /// Time that the prefill of the prompt is expected to take, in milliseconds.
     pub prefill_ms: u64,
-    /// Holds the store that receives the shared prompt.
+    /// Address of the store to which the engine saves the shared prefix.
     pub save_to: Option<SocketAddr>,
-    /// Describes the upstream.
+    /// The chosen upstream.
     pub upstream: Upstream,
-    /// Gives the version of the model's weights there.
+    /// Version of the model's weights at the upstream.
     pub weights: Option<u64>,
 }
 
-/// Orders the requests that wait at an engine.
+/// Order of the requests that wait in the queue of an engine.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Rank {
-    /// Comes before others: a long prompt that may still be in time.
+    /// Before others: a long prompt that can still begin in time.
     First,
-    /// Comes after others: a long prompt that is late whatever is read first.
+    /// After others: a long prompt that is late in any case.
     Last,
-    /// Comes in turn.
+    /// In order of arrival.
     #[default]
     Normal,
 }
 
-/// Tells why no upstream takes a request.
+/// Reason why no upstream takes a request.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, IntoStaticStr, PartialEq, Serialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Refusal {
-    /// Means that every engine has enough to read; the request should wait a little.
+    /// Every engine has too long a backlog; the request should wait and try again.
     Busy,
-    /// Means that no upstream of the service takes work.
+    /// No upstream of the service takes requests.
     #[strum(serialize = "none")]
     NoUpstream,
-    /// Means that the work ahead takes longer than the caller waits.
+    /// Every backlog is longer than the time left to the caller.
     TooLate,
 }
--- a/crates/coordination/src/demand.rs
+++ b/crates/coordination/src/demand.rs
@@ -1,4 +1,4 @@
-//! What a routed request needs of an upstream.
+//! What a routed request requires of an upstream.
 
 use std::net::SocketAddr;
 
@@ -7,50 +7,51 @@
 
 use crate::prefix_index::PrefixKey;
 
-/// Describes what a request needs.
+/// Requirements of a request, as the choice of its upstream takes them into account.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Demand {
-    /// Lists the addresses to which this host keeps connections that are idle.
+    /// Addresses to which the requesting host keeps idle connections.
     pub connected: Vec<SocketAddr>,
-    /// Names the failure domain of this host.
+    /// Failure domain of the requesting host.
     pub domain: String,
-    /// Breaks ties.
+    /// Random number that selects the sample of upstreams for a short prompt.
     pub random: u64,
-    /// Gives the weights version that must serve the request, where an answer goes on.
+    /// Weights version that must serve the request, if it resumes an answer.
     pub exact_weights: Option<u64>,
-    /// Gives the time left until the answer should begin, in milliseconds.
+    /// Time left until the answer should begin, in milliseconds.
     pub first_byte_left_ms: u64,
-    /// Gives the time left, in milliseconds.
+    /// Time left until the deadline of the request, in milliseconds.
     pub left_ms: u64,
-    /// Counts the tokens that the memory of one engine holds, where that is known.
+    /// Tokens that fit into the memory of one engine, if known.
     pub memory_tokens: Option<u64>,
-    /// Names the model, where engines serve the request.
+    /// Name of the model, if engines serve the request.
     pub model: Option<String>,
-    /// Gives the newest version of the model's weights.
+    /// Newest version of the model's weights.
     pub newest_weights: u64,
-    /// Counts the tokens of the prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Names the service.
+    /// Name of the service.
     pub service: String,
-    /// Names the part of the prompt that other requests share, and counts the tokens up to its end.
+    /// ID of the prefix that the prompt shares with other requests, and the tokens up to its end;
+    /// only long prompts have one.
     pub shared_prefix: Option<(String, u64)>,
-    /// Lists the stores of cached prompts.
+    /// Addresses of the stores of cached prefixes.
     pub stores: Vec<SocketAddr>,
-    /// Lists the upstreams that have failed this request.
+    /// IDs of the upstreams that have failed this request.
     pub tried: Vec<String>,
-    /// Names the workspace whose cached prompts no other may use, where it is the request's.
+    /// Workspace of the request, if no other workspace may use its cached prefixes.
     pub isolated_workspace: Option<String>,
 }
 
 impl Demand {
-    /// Names the shared prompt as engines with a version of the weights cache it.
+    /// Returns the key under which engines with this weights version cache the shared prefix.
     pub fn prefix_key(&self, weights: u64) -> Option<PrefixKey> {
-        let prefix_id = self.cache_name()?;
+        let prefix_id = self.cache_id()?;
         Some(PrefixKey { prefix_id, weights })
     }
 
-    /// Names the shared prompt with the workspace that it must not leave, where there is one.
-    fn cache_name(&self) -> Option<String> {
+    /// Returns the ID of the shared prefix, with the isolated workspace appended if there is one.
+    fn cache_id(&self) -> Option<String> {
         let (prefix_id, _) = self.shared_prefix.as_ref()?;
         Some(match &self.isolated_workspace {
             None => prefix_id.clone(),
--- a/crates/coordination/src/prefix_index.rs
+++ b/crates/coordination/src/prefix_index.rs
@@ -1,9 +1,9 @@
-//! Holders: which engines have read which shared prompts, and whether the store was sent them.
+//! Index of which engines have which shared prefixes cached, and which ones the store was sent.
 //!
-//! A host notes a prompt once an engine has begun to answer a request with it, and tells the
-//! others. An engine that lacks a prompt fetches it from one that has it in a tenth of the time of
-//! reading it. What is noted is a hint: an engine may have dropped the prompt since, which costs it
-//! the reading that it would have done anyway.
+//! A host records a prefix once an engine has begun to answer a request with it, and sends the
+//! entry to the other hosts. An engine that lacks a prefix fetches it from one that has it in a
+//! tenth of the time of its prefill. An entry is a hint: the engine may have evicted the prefix
+//! since, and then it costs the prefill that would have been needed anyway.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,105 +15,108 @@
 use crate::rendezvous;
 use state::time::Instant;
 
-/// Gives for how long a prompt that an engine has read is expected there, in milliseconds: engines
-/// keep some ten prompts of full length, and each reads about one a second under load.
-const HELD_MS: u64 = 10_000;
-/// Gives the time after which a prompt goes to the store again, in milliseconds, as the store may
-/// have dropped it or was down.
-const SAVED_MS: u64 = 10_000;
-/// Bounds what waits to be told to the others; a host sends fewer long prompts between two asks.
-const UNTOLD: usize = 256;
-
-/// Names a shared prompt as engines cache it: for one version of the weights, and within one
+/// How long a prefix is expected in the cache of an engine, in milliseconds: an engine keeps about
+/// ten prompts of full length, and prefills about one a second under load.
+const CACHED_MS: u64 = 10_000;
+/// Time after which a prefix is saved to the store again, in milliseconds, because the store may
+/// have evicted it or was down.
+const SAVE_INTERVAL_MS: u64 = 10_000;
+/// Largest number of entries that wait to be sent to the other hosts; a host sends fewer long
+/// prompts to engines between two updates.
+const UNSENT_LIMIT: usize = 256;
+
+/// Identity of a shared prefix as engines cache it: for one weights version, and within one
 /// workspace where that is isolated.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct PrefixKey {
-    /// Names its last part, and the workspace that it must not leave, where there is one.
+    /// ID of the last part of the prefix, with the isolated workspace that it belongs to, if any.
     pub prefix_id: String,
-    /// Gives the version of the weights.
+    /// Version of the weights that computed it.
     pub weights: u64,
 }
 
-/// Names what has a prompt.
+/// Where a prefix is cached.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum CacheLocation {
-    /// Is an engine, by its name.
+    /// In the engine with this ID.
     Engine(String),
-    /// Is the store.
+    /// In the store.
     Store,
 }
 
-/// Tells that a place has a prompt.
+/// An entry of the index: a prefix and one place where it is cached.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CachedPrefix {
-    /// Names the place.
+    /// Where the prefix is cached.
     pub location: CacheLocation,
-    /// Names the prompt.
+    /// The cached prefix.
     pub prefix: PrefixKey,
 }
 
-/// Returns the store that keeps a prompt: every host finds the same one, so that each prompt is
-/// kept once and all stores fill.
+/// Returns the store that keeps a prefix. Rendezvous hashing gives the same store on every host, so
+/// that each prefix is kept once and prefixes spread over all stores.
 pub fn store_for(stores: &[SocketAddr], prefix: &PrefixKey) -> Option<SocketAddr> {
     let score =
         |store: &&SocketAddr| rendezvous::score(prefix.prefix_id.as_bytes(), &store.to_string());
     stores.iter().max_by_key(score).copied()
 }
 
-/// Keeps which places have which prompts.
+/// Records which locations have which prefixes cached.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     locations: BTreeMap<PrefixKey, BTreeMap<CacheLocation, Instant>>,
-    told: VecDeque<(Instant, CachedPrefix)>,
-    untold: Vec<CachedPrefix>,
+    sent: VecDeque<(Instant, CachedPrefix)>,
+    unsent: Vec<CachedPrefix>,
 }
 
 impl PrefixIndex {
-    /// Notes what this host has seen, to be told to the others.
+    /// Records an entry that this host has observed, and queues it for the other hosts.
     pub fn record_local(&mut self, now: Instant, cached_prefix: CachedPrefix) {
-        if self.untold.len() < UNTOLD {
-            self.untold.push(cached_prefix.clone());
+        if self.unsent.len() < UNSENT_LIMIT {
+            self.unsent.push(cached_prefix.clone());
         }
         self.insert(now, cached_prefix);
     }
 
-    /// Notes what other hosts have seen.
+    /// Records entries that other hosts have observed.
     pub fn record_remote(&mut self, now: Instant, cached_prefixes: Vec<CachedPrefix>) {
         for cached_prefix in cached_prefixes {
             self.insert(now, cached_prefix);
         }
     }
 
-    /// Returns what the others were not told yet.
+    /// Takes the entries that were not sent to the other hosts yet.
     pub fn take_updates(&mut self, now: Instant) -> Vec<CachedPrefix> {
-        let untold = std::mem::take(&mut self.untold);
-        let told = untold
+        let unsent = std::mem::take(&mut self.unsent);
+        let sent = unsent
             .iter()
             .cloned()
             .map(|cached_prefix| (now, cached_prefix));
-        self.told.extend(told);
-        let old = self.told.len().saturating_sub(UNTOLD);
-        self.told.drain(..old);
-        untold
+        self.sent.extend(sent);
+        let excess = self.sent.len().saturating_sub(UNSENT_LIMIT);
+        self.sent.drain(..excess);
+        unsent
     }
 
-    /// Has what is not too old to count told once more.
+    /// Queues the entries that were sent but have not expired again, before those not sent yet.
     pub fn resend_updates(&mut self, now: Instant) {
-        let told = std::mem::take(&mut self.told);
-        let young = told.into_iter().filter(|(at, _)| now.since(*at) <= HELD_MS);
-        let later = std::mem::take(&mut self.untold);
-        self.untold = young
+        let sent = std::mem::take(&mut self.sent);
+        let recent = sent
+            .into_iter()
+            .filter(|(at, _)| now.since(*at) <= CACHED_MS);
+        let later = std::mem::take(&mut self.unsent);
+        self.unsent = recent
             .map(|(_, cached_prefix)| cached_prefix)
             .chain(later)
             .collect();
-        self.untold.truncate(UNTOLD);
+        self.unsent.truncate(UNSENT_LIMIT);
     }
 
-    /// Returns the engines that have a prompt, the last that read it first.
+    /// Returns the engines that have a prefix cached, the one with the newest entry first.
     pub fn engines(&self, now: Instant, prefix: &PrefixKey) -> Vec<&str> {
         let locations = self.locations.get(prefix).into_iter().flatten();
         let mut engines: Vec<(Instant, &str)> = locations
-            .filter(|(_, at)| now.since(**at) <= HELD_MS)
+            .filter(|(_, at)| now.since(**at) <= CACHED_MS)
             .filter_map(|(location, at)| match location {
                 CacheLocation::Engine(id) => Some((*at, id.as_str())),
                 CacheLocation::Store => None,
@@ -123,11 +126,11 @@
         engines.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Returns whether a prompt should go to the store, and notes that it does.
+    /// Returns whether a prefix should be saved to the store now, and records that it is if so.
     pub fn claim_save(&mut self, now: Instant, prefix: &PrefixKey) -> bool {
         let saved = self.locations.get(prefix);
         let saved = saved.and_then(|locations| locations.get(&CacheLocation::Store));
-        let due = saved.is_none_or(|at| now.since(*at) > SAVED_MS);
+        let due = saved.is_none_or(|at| now.since(*at) > SAVE_INTERVAL_MS);
         if due {
             self.record_local(
                 now,
@@ -140,11 +143,11 @@
         due
     }
 
-    /// Forgets what is too old to count.
+    /// Removes expired entries.
     pub fn expire(&mut self, now: Instant) {
-        let most = HELD_MS.max(SAVED_MS);
+        let longest_ms = CACHED_MS.max(SAVE_INTERVAL_MS);
         self.locations.retain(|_, locations| {
-            locations.retain(|_, at| now.since(*at) <= most);
+            locations.retain(|_, at| now.since(*at) <= longest_ms);
             !locations.is_empty()
         });
     }
--- a/crates/coordination/src/prefix_log.rs
+++ b/crates/coordination/src/prefix_log.rs
@@ -1,7 +1,8 @@
-//! Bulletin: passes what each host has seen on to all others, in the order in which it came.
+//! Log of cached prefixes: passes the entries of each host on to all others, in order of arrival.
 //!
-//! The host that leads keeps the newest entries and numbers them; every other host names the last
-//! that it has and gets those after it. Entries that are gone before a host asks are lost to it.
+//! The leading host keeps the newest entries and numbers them. Every other host sends the position
+//! of the last entry that it has, and gets the entries after it. A host misses the entries that are
+//! dropped before it asks.
 
 use std::collections::VecDeque;
 
@@ -10,61 +11,64 @@
 
 use crate::prefix_index::CachedPrefix;
 
-/// Bounds the entries that are kept: some seconds' worth at a hundred long prompts a second.
-const KEPT: usize = 1_024;
-/// Bounds the entries of one answer.
-const TOLD: usize = 256;
+/// Largest number of entries that are kept: enough for some seconds at a hundred long prompts a
+/// second.
+const ENTRIES_LIMIT: usize = 1_024;
+/// Largest number of entries in one answer.
+const ANSWER_LIMIT: usize = 256;
 
-/// Names the last entry that a host has; numbers of another leader mean nothing.
+/// Position of the last entry that a host has; it is valid only within one term.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Position {
-    /// Gives the term of the voter that numbered it.
+    /// Term of the leader that numbered the entry.
     pub term: u64,
-    /// Gives its number.
+    /// Number of the entry within the term.
     pub number: u64,
 }
 
-/// Keeps the newest entries.
+/// The newest entries, as the leading host keeps them.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixLog {
     entries: VecDeque<(String, CachedPrefix)>,
-    mark: Position,
+    last_position: Position,
 }
 
 impl PrefixLog {
-    /// Takes the entries of `host`, and returns those of the others after `heard` with the mark of
-    /// the last.
+    /// Appends the entries of `host`, and returns those of the other hosts after its `position`,
+    /// with the position of the last entry.
     pub fn exchange(
         &mut self,
         term: u64,
         host: impl Into<String>,
-        told: Vec<CachedPrefix>,
-        heard: Position,
+        cached_prefixes: Vec<CachedPrefix>,
+        position: Position,
     ) -> (Vec<CachedPrefix>, Position) {
-        if self.mark.term != term {
+        if self.last_position.term != term {
             self.entries.clear();
-            self.mark = Position { term, number: 0 };
+            self.last_position = Position { term, number: 0 };
         }
         let host = host.into();
-        let after = match heard.term == term {
+        let after = match position.term == term {
             false => 0,
-            true => heard.number,
+            true => position.number,
         };
-        let lacking = self.mark.number.saturating_sub(after);
-        let lacking = usize::try_from(lacking).unwrap_or(usize::MAX).min(TOLD);
-        let first = self.entries.len().saturating_sub(lacking);
+        let missing = self.last_position.number.saturating_sub(after);
+        let missing = usize::try_from(missing)
+            .unwrap_or(usize::MAX)
+            .min(ANSWER_LIMIT);
+        let first = self.entries.len().saturating_sub(missing);
         let others = self.entries.iter().skip(first);
-        let others = others.filter(|(from, _)| *from != host);
+        let others = others.filter(|(sender, _)| *sender != host);
         let others = others
             .map(|(_, cached_prefix)| cached_prefix.clone())
             .collect();
-        for cached_prefix in told {
+        for cached_prefix in cached_prefixes {
             self.entries.push_back((host.clone(), cached_prefix));
-            self.mark.number += 1;
+            self.last_position.number += 1;
         }
-        while self.entries.len() > KEPT {
+        while self.entries.len() > ENTRIES_LIMIT {
             self.entries.pop_front();
         }
-        (others, self.mark)
+        (others, self.last_position)
     }
 }
--- a/crates/coordination/src/routing_update.rs
+++ b/crates/coordination/src/routing_update.rs
@@ -1,8 +1,10 @@
-//! What the leading voter tells the hosts that serve callers, and how long they may rely on it.
+//! Updates that the leading voter sends to the hosts that serve callers, and how long they stay
+//! fresh.
 //!
-//! A host asks often and counts the age of what it knows from when it asked. The voter answers
-//! under everything acknowledged before, so a host whose knowledge is young enough cannot have
-//! missed a change that was acknowledged long ago, also when it was cut off or stood still.
+//! A host sends requests often, and counts the age of its routing data from the time of the
+//! request. The leader's answer reflects every change acknowledged before it. So a host with fresh
+//! data cannot have missed a change that was acknowledged longer ago than the limit, even if it was
+//! partitioned or paused in the meantime.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,43 +20,43 @@
 use state::routing::Table;
 use state::time::Instant;
 
-/// Asks for what a host lacks.
+/// A request for the changes that a host lacks; it also reports the state of the host.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Request {
-    /// Gives the edition of the fleet that the host has.
+    /// Edition of the fleet that the host has.
     pub edition: Edition,
-    /// Lists the assignments that what the host has under way covers since it asked last.
+    /// IDs of the assignments that `loads` includes for the first time.
     pub assignment_ids: Vec<u64>,
-    /// Names the last entry of the bulletin that the host has.
+    /// Position of the last entry of the prefix log that the host has.
     pub prefix_position: Position,
-    /// Names the host.
+    /// Name of the host.
     pub host: String,
-    /// Tells what the host has under way at upstreams.
+    /// Load that the host causes at each upstream.
     pub loads: UpstreamLoads,
-    /// Tells where the host has seen shared prompts since it asked last.
+    /// Cached prefixes that the host has recorded since its last request.
     pub cached_prefixes: Vec<CachedPrefix>,
-    /// Gives the version of the routed table that the host has.
+    /// Version of the routed table that the host has.
     pub table_version: u64,
 }
 
-/// Holds what a host lacks.
+/// The changes that a host lacks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RoutingUpdate {
-    /// Holds the upstreams, where the host lacks this edition.
+    /// The upstreams, if the host lacks this edition of them.
     pub fleet: Option<Fleet>,
-    /// Tells where other hosts have seen shared prompts.
+    /// Cached prefixes that other hosts have recorded.
     pub cached_prefixes: Vec<CachedPrefix>,
-    /// Tells what other hosts have under way at upstreams.
+    /// Load that the other hosts cause at each upstream.
     pub loads: UpstreamLoads,
-    /// Names the last entry of the bulletin.
+    /// Position of the last entry of the prefix log.
     pub prefix_position: Position,
-    /// Holds the routed table, where the host lacks this version.
+    /// The routed table, if the host lacks this version of it.
     pub table: Option<Arc<Table>>,
-    /// Gives the newest weights version of each model.
+    /// Newest weights version of each model.
     pub weights: BTreeMap<String, u64>,
 }
 
-/// Counts the age of what a host knows.
+/// Tracks the age of a host's routing data.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
     requested_at: Option<Instant>,
@@ -62,8 +64,7 @@
 }
 
 impl Freshness {
-    /// Returns the age of a host that knows nothing yet and may rely on what it knows for
-    /// `limit_ms`.
+    /// Returns the freshness of a host that has no data yet and may rely on data for `limit_ms`.
     pub fn new(limit_ms: u64) -> Self {
         Self {
             requested_at: None,
@@ -71,18 +72,18 @@
         }
     }
 
-    /// Notes that an ask sent at `asked` was answered.
+    /// Records that a request sent at `requested_at` was answered.
     pub fn confirm(&mut self, requested_at: Instant) {
         self.requested_at = self.requested_at.max(Some(requested_at));
     }
 
-    /// Returns whether the host may rely on what it knows.
+    /// Returns whether the host may rely on its data.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let age = self.age_ms(now);
         age.is_some_and(|age| age < self.limit_ms)
     }
 
-    /// Returns the age, if anything is known.
+    /// Returns the age of the data, if there is any.
     pub fn age_ms(&self, now: Instant) -> Option<u64> {
         self.requested_at
             .map(|requested_at| now.since(requested_at))
--- a/crates/coordination/src/unresponsive.rs
+++ b/crates/coordination/src/unresponsive.rs
@@ -1,23 +1,26 @@
-//! Silence: tells an upstream that answers nobody from one that is busy.
+//! Detects unresponsive upstreams, and tells them from busy ones.
 //!
-//! An upstream that answers any request is alive. One that leaves requests without a byte for
-//! longer than their work can take, and answers no other meanwhile, is silent: it crashed without
-//! closing its connections, or it is cut off. In a large fleet a host has few requests at each
-//! upstream, so hosts tell each other when they heard it last. Where only this host hears nothing,
-//! the path to the upstream is broken; that verdict takes longer.
+//! An upstream that answers any request is alive. An upstream is unresponsive if it sends no byte
+//! for longer than the work of its requests can take, neither for these nor for other requests: it
+//! crashed without closing its connections, or it is partitioned. In a large fleet a host has few
+//! requests at each upstream, so hosts share the time of the last byte from each. Where other hosts
+//! get bytes and only this host gets none, the path to the upstream is broken; this takes a longer
+//! timeout.
 
 use std::collections::BTreeMap;
 
 use state::time::Instant;
 
-/// Gives the time without any byte after which an upstream with requests is silent, in
-/// milliseconds, beside the time that their work takes; a few round trips and a full batch step.
+/// Time without a byte to any host after which an upstream with requests is unresponsive, in
+/// milliseconds, on top of the time that their work takes: a few round trips and a full batch step.
 pub const TIMEOUT_MS: u64 = 700;
-/// Gives the same time for an upstream that other hosts hear, in milliseconds: a busy engine leaves
-/// a single request without a byte for about a second beyond its work, and callers leave after
-/// four.
+/// The same for an upstream that sends bytes to other hosts, in milliseconds: a busy engine leaves
+/// a single request without a byte for about a second beyond its work, and callers give up after
+/// four seconds.
 pub const PATH_TIMEOUT_MS: u64 = 1_500;
 
+/// The last bytes of an upstream, and the requests that wait for it with the time when their work
+/// is due.
 #[derive(Clone, Debug, Default)]
 struct Upstream {
     last_byte: Instant,
@@ -25,56 +28,56 @@
     waiting: BTreeMap<u64, Instant>,
 }
 
-/// Keeps when upstreams were last heard and which requests wait for them.
+/// Tracks the last bytes of upstreams and the requests that wait for them.
 #[derive(Clone, Debug, Default)]
 pub struct UnresponsiveDetector {
-    next: u64,
+    next_id: u64,
     upstreams: BTreeMap<String, Upstream>,
 }
 
-/// Names a request that waits for an upstream.
+/// Identifies a request that waits for an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestId(u64);
 
 impl UnresponsiveDetector {
-    /// Notes that a request whose work takes `work_ms` was sent, and returns its ticket.
+    /// Records that a request whose work takes `work_ms` was sent, and returns its ID.
     pub fn record_sent(&mut self, now: Instant, id: impl Into<String>, work_ms: u64) -> RequestId {
-        let request_id = RequestId(self.next);
-        self.next += 1;
+        let request_id = RequestId(self.next_id);
+        self.next_id += 1;
         let upstream = self.upstreams.entry(id.into()).or_default();
         upstream.waiting.insert(request_id.0, now + work_ms);
         request_id
     }
 
-    /// Notes a byte of the upstream.
+    /// Records that this host got bytes from the upstream.
     pub fn record_byte(&mut self, now: Instant, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.last_byte = upstream.last_byte.max(now);
         }
     }
 
-    /// Notes that another host had a byte of the upstream at `at`.
+    /// Records that another host got bytes from the upstream at `at`.
     pub fn record_remote_byte(&mut self, at: Instant, id: &str) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.last_remote_byte = upstream.last_remote_byte.max(at);
         }
     }
 
-    /// Returns the time since this host had a byte of the upstream, in milliseconds, if it ever
-    /// had.
+    /// Returns the time since this host last got bytes from the upstream, in milliseconds, if it
+    /// ever did.
     pub fn last_byte_age_ms(&self, now: Instant, id: &str) -> Option<u64> {
         let last_byte = self.upstreams.get(id)?.last_byte;
         (last_byte > Instant::default()).then(|| now.since(last_byte))
     }
 
-    /// Notes that a request no longer waits.
+    /// Records that a request no longer waits.
     pub fn record_ended(&mut self, id: &str, request_id: RequestId) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.waiting.remove(&request_id.0);
         }
     }
 
-    /// Returns whether the upstream, or the path to it, is silent.
+    /// Returns whether the upstream is unresponsive, or the path to it is broken.
     pub fn is_unresponsive(&self, now: Instant, id: &str) -> bool {
         let Some(upstream) = self.upstreams.get(id) else {
             return false;
@@ -87,7 +90,7 @@
         now.since(anywhere) > TIMEOUT_MS || now.since(here) > PATH_TIMEOUT_MS
     }
 
-    /// Forgets all upstreams but those that `keep` names.
+    /// Removes the upstreams that `keep` rejects and that have no requests waiting.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         let busy = |upstream: &Upstream| !upstream.waiting.is_empty();
         self.upstreams
--- a/crates/coordination/src/upstream.rs
+++ b/crates/coordination/src/upstream.rs
@@ -1,4 +1,5 @@
-//! What the hosts know of the upstreams of routed services.
+//! The upstreams of routed services, as the platform lists them and as the leading host publishes
+//! them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,76 +8,76 @@
 use serde::Serialize;
 use strum::Display;
 
-/// Describes one upstream as the platform's list shows it, which may be late.
+/// One upstream in the platform's list, which may lag behind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedUpstream {
-    /// Holds its address, which another upstream may have had before.
+    /// Its address, which another upstream may have had before.
     pub address: SocketAddr,
-    /// Names its failure domain.
+    /// Its failure domain.
     pub domain: String,
-    /// Names this start of the upstream.
+    /// ID of the upstream; it changes with every start.
     pub id: String,
-    /// Tells whether it is about to end and wants no new work.
+    /// Whether it is shutting down and takes no new requests.
     pub leaving: bool,
-    /// Names its service.
+    /// Name of its service.
     pub service: String,
-    /// Bounds the requests that it runs at once; 0 when the list does not say.
+    /// Number of requests that it runs at once; 0 if the list does not say.
     pub slots: u32,
-    /// Gives the time of its start, in milliseconds of its own clock; 0 when the list does not say.
+    /// Time of its start by its own clock, in milliseconds; 0 if the list does not say.
     pub started: u64,
-    /// Gives the weights version of each of its models.
+    /// Weights version of each of its models.
     pub weights: BTreeMap<String, u64>,
 }
 
-/// Tells whether an upstream takes new work.
+/// Whether an upstream takes new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Standing {
-    /// Means that it is about to end.
+    /// It is shutting down.
     Leaving,
-    /// Means that it is about to load weights or loads them.
+    /// It is about to load weights, or is loading them.
     Loading,
-    /// Means that it takes work.
+    /// It takes requests.
     Ready,
 }
 
-/// Describes one upstream to the hosts that send it requests.
+/// One upstream, as published to the hosts that send it requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Upstream {
-    /// Holds its address.
+    /// Its address.
     pub address: SocketAddr,
-    /// Names its failure domain.
+    /// Its failure domain.
     pub domain: String,
-    /// Names this start of the upstream.
+    /// ID of the upstream; it changes with every start.
     pub id: String,
-    /// Names its service.
+    /// Name of its service.
     pub service: String,
-    /// Bounds the requests that it runs at once; 0 when unknown.
+    /// Number of requests that it runs at once; 0 if unknown.
     pub slots: u32,
-    /// Tells whether it takes new work.
+    /// Whether it takes new requests.
     pub standing: Standing,
-    /// Gives the weights version of each of its models.
+    /// Weights version of each of its models.
     pub weights: BTreeMap<String, u64>,
 }
 
-/// Orders the editions of a fleet; a later leader's come after an earlier one's.
+/// Version of a published fleet; editions of a later term are newer than those of an earlier one.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Edition {
-    /// Gives the term of the voter that wrote it.
+    /// Term of the leader that published it.
     pub term: u64,
-    /// Numbers the editions of one term.
+    /// Number of the edition within the term.
     pub number: u64,
 }
 
-/// Lists all upstreams.
+/// All upstreams of routed services, as the leading host publishes them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Fleet {
-    /// Orders this list among others.
+    /// Version of this list.
     pub edition: Edition,
-    /// Gives the oldest weights version of each model that may still serve requests.
+    /// Oldest weights version of each model that may still serve requests.
     pub floors: BTreeMap<String, u64>,
-    /// Lists the upstreams.
+    /// The upstreams.
     pub upstreams: Vec<Upstream>,
 }
--- a/crates/coordination/src/upstream_load.rs
+++ b/crates/coordination/src/upstream_load.rs
@@ -1,5 +1,5 @@
-//! Adds up what all hosts have under way at each upstream, so that each host knows the load that
-//! the others cause.
+//! Sums the requests that all hosts have in flight at each upstream, so that each host can take the
+//! load of the others into account.
 
 use std::collections::BTreeMap;
 
@@ -8,37 +8,36 @@
 
 use state::time::Instant;
 
-/// Gives how long a host's report counts, in milliseconds; hosts report several times a second.
-const REPORT_MS: u64 = 1_000;
+/// How long the report of a host counts, in milliseconds; hosts report several times a second.
+const REPORT_LIFETIME_MS: u64 = 1_000;
 
-/// Counts what is under way at one upstream.
+/// Requests in flight at one upstream.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UpstreamLoad {
-    /// Counts the tokens of the requests whose prompts are long.
+    /// Prompt tokens of the requests with long prompts.
     pub long_prompt_tokens: u64,
-    /// Gives the time since the upstream sent a byte to any host, in milliseconds, where it did
+    /// Time since the upstream last sent a byte to any reporting host, in milliseconds, if it did
     /// lately.
     pub last_byte_age_ms: Option<u64>,
-    /// Counts the requests.
+    /// Number of requests.
     pub running: u32,
-    /// Counts the prompt tokens of requests that have not begun to answer.
+    /// Tokens still to be prefilled: those of requests whose answer has not begun.
     pub pending_prefill_tokens: u64,
 }
 
-/// Holds the load of upstreams by their names.
+/// Load of each upstream, by its ID.
 pub type UpstreamLoads = BTreeMap<String, UpstreamLoad>;
 
-/// Adds up the reports of hosts.
+/// Sums the reports of hosts.
 #[derive(Clone, Debug, Default)]
 pub struct LoadAggregator {
-    heard: BTreeMap<String, Instant>,
+    last_bytes: BTreeMap<String, Instant>,
     hosts: BTreeMap<String, (Instant, UpstreamLoads)>,
     total: UpstreamLoads,
 }
 
 impl LoadAggregator {
-    /// Takes the report of a host in place of its last one, and returns what the others have under
-    /// way.
+    /// Replaces the report of a host, and returns the sum of the other hosts' reports.
     pub fn report(
         &mut self,
         now: Instant,
@@ -46,16 +45,16 @@
         loads: UpstreamLoads,
     ) -> UpstreamLoads {
         let host = host.into();
-        self.forget(now, &host);
+        self.remove_reports(now, &host);
         let mut others = self.total.clone();
         for (upstream, load) in &mut others {
-            let heard = self.heard.get(upstream);
-            load.last_byte_age_ms = heard.map(|at| now.since(*at));
+            let last_byte = self.last_bytes.get(upstream);
+            load.last_byte_age_ms = last_byte.map(|at| now.since(*at));
         }
         for (upstream, load) in &loads {
-            if let Some(quiet) = load.last_byte_age_ms {
-                let heard = self.heard.entry(upstream.clone()).or_default();
-                *heard = (*heard).max(now.before(quiet));
+            if let Some(age_ms) = load.last_byte_age_ms {
+                let last_byte = self.last_bytes.entry(upstream.clone()).or_default();
+                *last_byte = (*last_byte).max(now.before(age_ms));
             }
             let sum = self.total.entry(upstream.clone()).or_default();
             sum.long_prompt_tokens += load.long_prompt_tokens;
@@ -66,18 +65,19 @@
         others
     }
 
-    /// Returns what all hosts have under way.
+    /// Returns the sum of the reports of all hosts.
     pub fn total(&self) -> &UpstreamLoads {
         &self.total
     }
 
-    /// Takes out the last report of `host` and those that are too old.
-    fn forget(&mut self, now: Instant, host: &str) {
-        let old = |name: &String, at: &Instant| name == host || now.since(*at) > REPORT_MS;
-        let gone = self.hosts.iter();
-        let gone = gone.filter(|(name, (at, _))| old(name, at));
-        let gone: Vec<String> = gone.map(|(name, _)| name.clone()).collect();
-        for name in gone {
+    /// Removes the last report of `host` and all expired reports.
+    fn remove_reports(&mut self, now: Instant, host: &str) {
+        let is_removed =
+            |name: &String, at: &Instant| name == host || now.since(*at) > REPORT_LIFETIME_MS;
+        let removed = self.hosts.iter();
+        let removed = removed.filter(|(name, (at, _))| is_removed(name, at));
+        let removed: Vec<String> = removed.map(|(name, _)| name.clone()).collect();
+        for name in removed {
             let Some((_, loads)) = self.hosts.remove(&name) else {
                 continue;
             };
@@ -87,7 +87,7 @@
                     sum.running -= load.running;
                     sum.pending_prefill_tokens -= load.pending_prefill_tokens;
                     if *sum == UpstreamLoad::default() {
-                        self.heard.remove(&upstream);
+                        self.last_bytes.remove(&upstream);
                         self.total.remove(&upstream);
                     }
                 }
--- a/crates/coordination/tests/prefix_index.rs
+++ b/crates/coordination/tests/prefix_index.rs
@@ -1,4 +1,4 @@
-//! Which engines have read a shared prompt, as hosts tell each other.
+//! Tests of the index of cached prefixes, and of the log that distributes its entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_engine_that_read_a_prompt_last_comes_first() {
+fn the_engine_with_the_newest_entry_comes_first() {
     let mut holders = PrefixIndex::default();
     holders.record_local(Instant(0), at("a", "p"));
     holders.record_remote(Instant(10), vec![at("b", "p")]);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_prompt_under_other_weights_or_of_another_workspace_is_another_prompt() {
+fn a_prefix_with_other_weights_or_of_another_workspace_is_a_different_key() {
     let mut holders = PrefixIndex::default();
     holders.record_local(Instant(0), at("a", "p@w1"));
     for other in [prefix("p@w1", 2), prefix("p", 1), prefix("p@w2", 1)] {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_prompt_that_nobody_read_for_long_is_not_expected_anywhere() {
+fn an_entry_expires_when_it_is_not_renewed() {
     let mut holders = PrefixIndex::default();
     holders.record_local(Instant(0), at("a", "p"));
     assert!(!holders.engines(Instant(10_000), &prefix("p", 1)).is_empty());
@@ -54,34 +54,34 @@
 }
 
 #[test]
-fn of_all_hosts_one_saves_a_prompt_until_it_is_due_again() {
+fn only_one_host_saves_a_prefix_until_the_save_interval_has_passed() {
     let mut hosts = [PrefixIndex::default(), PrefixIndex::default()];
     assert!(hosts[0].claim_save(Instant(0), &prefix("p", 1)));
-    let told = hosts[0].take_updates(Instant(0));
-    hosts[1].record_remote(Instant(100), told);
+    let received = hosts[0].take_updates(Instant(0));
+    hosts[1].record_remote(Instant(100), received);
     assert!(!hosts[1].claim_save(Instant(200), &prefix("p", 1)));
     assert!(hosts[1].claim_save(Instant(10_200), &prefix("p", 1)));
 }
 
 #[test]
-fn each_host_gets_what_the_others_saw_once() {
-    let mut bulletin = PrefixLog::default();
-    let (told, first) = bulletin.exchange(1, "h1", vec![at("a", "p")], Position::default());
-    assert!(told.is_empty());
-    let (told, second) = bulletin.exchange(1, "h2", vec![at("b", "q")], Position::default());
-    assert_eq!(told, [at("a", "p")]);
-    let (told, first) = bulletin.exchange(1, "h1", Vec::new(), first);
-    assert_eq!(told, [at("b", "q")]);
-    for (host, heard) in [("h1", first), ("h2", second)] {
-        let (told, _) = bulletin.exchange(1, host, Vec::new(), heard);
-        assert!(told.is_empty(), "{host}");
+fn each_host_gets_the_entries_of_the_others_once() {
+    let mut log = PrefixLog::default();
+    let (received, first) = log.exchange(1, "h1", vec![at("a", "p")], Position::default());
+    assert!(received.is_empty());
+    let (received, second) = log.exchange(1, "h2", vec![at("b", "q")], Position::default());
+    assert_eq!(received, [at("a", "p")]);
+    let (received, first) = log.exchange(1, "h1", Vec::new(), first);
+    assert_eq!(received, [at("b", "q")]);
+    for (host, position) in [("h1", first), ("h2", second)] {
+        let (received, _) = log.exchange(1, host, Vec::new(), position);
+        assert!(received.is_empty(), "{host}");
     }
 }
 
 #[test]
-fn the_numbers_of_another_leader_mean_nothing() {
+fn a_position_of_another_term_is_ignored() {
     let mut old = PrefixLog::default();
-    let (_, mark) = old.exchange(
+    let (_, position) = old.exchange(
         1,
         "h1",
         vec![at("a", "p"), at("b", "p")],
@@ -89,25 +89,25 @@
     );
     let mut new = PrefixLog::default();
     let _ = new.exchange(2, "h2", vec![at("c", "q")], Position::default());
-    let (told, _) = new.exchange(2, "h1", Vec::new(), mark);
-    assert_eq!(told, [at("c", "q")]);
+    let (received, _) = new.exchange(2, "h1", Vec::new(), position);
+    assert_eq!(received, [at("c", "q")]);
 }
 
 #[test]
-fn a_bulletin_keeps_the_newest_entries_and_an_answer_is_bounded() {
-    let mut bulletin = PrefixLog::default();
-    for place in 0..2_000 {
-        let cached_prefix = at("a", &format!("p{place}"));
-        let _ = bulletin.exchange(1, "h1", vec![cached_prefix], Position::default());
+fn the_log_keeps_the_newest_entries_and_bounds_an_answer() {
+    let mut log = PrefixLog::default();
+    for index in 0..2_000 {
+        let cached_prefix = at("a", &format!("p{index}"));
+        let _ = log.exchange(1, "h1", vec![cached_prefix], Position::default());
     }
-    let (told, mark) = bulletin.exchange(1, "h2", Vec::new(), Position::default());
-    assert_eq!(told.len(), 256);
-    assert_eq!(told.last(), Some(&at("a", "p1999")));
-    assert_eq!(mark.number, 2_000);
+    let (received, position) = log.exchange(1, "h2", Vec::new(), Position::default());
+    assert_eq!(received.len(), 256);
+    assert_eq!(received.last(), Some(&at("a", "p1999")));
+    assert_eq!(position.number, 2_000);
 }
 
 #[test]
-fn each_prompt_has_one_store_and_every_store_has_prompts() {
+fn each_prefix_has_one_store_and_prefixes_spread_over_all_stores() {
     let stores: Vec<SocketAddr> = (1..=3).map(|n| ([10, 0, 0, n], 1).into()).collect();
     let mut reversed = stores.clone();
     reversed.reverse();
--- a/crates/coordination/tests/routed.rs
+++ b/crates/coordination/tests/routed.rs
@@ -1,4 +1,5 @@
-//! The small parts of routed services: silence, sums of loads, freshness.
+//! Tests of the unresponsive detector, the sums of upstream loads and the freshness of routing
+//! data.
 
 use std::collections::BTreeMap;
 
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn an_upstream_is_silent_when_it_answers_no_request_for_longer_than_its_work_takes() {
+fn an_upstream_is_unresponsive_when_it_sends_nothing_for_longer_than_its_work_takes() {
     let mut detector = UnresponsiveDetector::default();
     let slow = detector.record_sent(Instant(0), "u", 500);
     assert!(!detector.is_unresponsive(Instant(500 + TIMEOUT_MS), "u"));
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn an_upstream_that_other_hosts_hear_is_busy_until_the_path_to_it_looks_broken() {
+fn an_upstream_that_answers_other_hosts_gets_the_longer_path_timeout() {
     let mut detector = UnresponsiveDetector::default();
     detector.record_sent(Instant(0), "u", 500);
     for at in (600..=500 + PATH_TIMEOUT_MS).step_by(100) {
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn an_upstream_that_no_host_hears_any_more_is_silent_to_all() {
+fn an_upstream_that_answers_no_host_any_more_is_unresponsive() {
     let mut detector = UnresponsiveDetector::default();
     detector.record_sent(Instant(0), "u", 0);
     detector.record_remote_byte(Instant(100), "u");
@@ -59,32 +60,32 @@
 }
 
 #[test]
-fn an_upstream_without_requests_is_not_silent() {
+fn an_upstream_without_requests_is_not_unresponsive() {
     let detector = UnresponsiveDetector::default();
     assert!(!detector.is_unresponsive(Instant(10_000), "u"));
 }
 
 #[test]
-fn a_host_learns_what_the_others_have_under_way_and_not_its_own() {
-    let mut tally = LoadAggregator::default();
+fn a_report_returns_the_loads_of_the_other_hosts_only() {
+    let mut aggregator = LoadAggregator::default();
     assert_eq!(
-        tally.report(Instant(0), "h1", loads(&[("u", 2)])),
+        aggregator.report(Instant(0), "h1", loads(&[("u", 2)])),
         UpstreamLoads::new()
     );
     assert_eq!(
-        tally.report(Instant(1), "h2", loads(&[("u", 3), ("v", 1)])),
+        aggregator.report(Instant(1), "h2", loads(&[("u", 3), ("v", 1)])),
         loads(&[("u", 2)])
     );
     assert_eq!(
-        tally.report(Instant(2), "h1", loads(&[("v", 5)])),
+        aggregator.report(Instant(2), "h1", loads(&[("v", 5)])),
         loads(&[("u", 3), ("v", 1)])
     );
-    assert_eq!(tally.total(), &loads(&[("u", 3), ("v", 6)]));
+    assert_eq!(aggregator.total(), &loads(&[("u", 3), ("v", 6)]));
 }
 
 #[test]
-fn a_host_learns_when_any_host_last_heard_an_upstream() {
-    let heard = |ms| {
+fn a_report_returns_the_time_since_any_host_last_got_a_byte() {
+    let with_last_byte = |ms| {
         let load = UpstreamLoad {
             last_byte_age_ms: Some(ms),
             running: 1,
@@ -92,24 +93,24 @@
         };
         UpstreamLoads::from([("u".to_owned(), load)])
     };
-    let mut tally = LoadAggregator::default();
-    tally.report(Instant(1_000), "h1", heard(400));
-    tally.report(Instant(1_010), "h2", heard(30));
-    tally.report(Instant(1_020), "h1", heard(420));
-    let told = tally.report(Instant(1_050), "h3", UpstreamLoads::new());
-    assert_eq!(told["u"].last_byte_age_ms, Some(70));
+    let mut aggregator = LoadAggregator::default();
+    aggregator.report(Instant(1_000), "h1", with_last_byte(400));
+    aggregator.report(Instant(1_010), "h2", with_last_byte(30));
+    aggregator.report(Instant(1_020), "h1", with_last_byte(420));
+    let others = aggregator.report(Instant(1_050), "h3", UpstreamLoads::new());
+    assert_eq!(others["u"].last_byte_age_ms, Some(70));
 }
 
 #[test]
-fn the_report_of_a_host_that_is_gone_no_longer_counts() {
-    let mut tally = LoadAggregator::default();
-    tally.report(Instant(0), "h1", loads(&[("u", 2)]));
-    let others = tally.report(Instant(1_001), "h2", loads(&[("u", 1)]));
+fn a_report_that_is_not_renewed_expires() {
+    let mut aggregator = LoadAggregator::default();
+    aggregator.report(Instant(0), "h1", loads(&[("u", 2)]));
+    let others = aggregator.report(Instant(1_001), "h2", loads(&[("u", 1)]));
     assert_eq!(others, BTreeMap::new());
 }
 
 #[test]
-fn a_host_counts_the_age_of_what_it_knows_from_when_it_asked() {
+fn the_age_of_routing_data_counts_from_the_time_of_the_request() {
     let mut freshness = Freshness::new(4_000);
     assert!(!freshness.is_fresh(Instant(0)));
     freshness.confirm(Instant(1_000));
