--- a/crates/coordination/src/breaker.rs
+++ b/crates/coordination/src/breaker.rs
@@ -1,4 +1,5 @@
-//! Ejects upstreams that fail, probes them, and never ejects more than a share of them.
+//! Circuit breaker: ejects failing upstreams, probes them, and never ejects more than a share of
+//! them.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +11,18 @@
 
 use state::time::Instant;
 
-/// Bounds ejections.
+/// Limits of ejections.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
-    /// Gives how many failures in a row eject an upstream.
+    /// Failures in a row that eject an upstream.
     pub failures_to_eject: u32,
-    /// Gives the length of the first ejection, in milliseconds; it doubles from there.
+    /// Longest first ejection, in milliseconds; it doubles with each further one.
     pub ejection_ms: u64,
-    /// Bounds the length of an ejection, in milliseconds.
+    /// Longest ejection, in milliseconds.
     pub ejection_limit_ms: u64,
-    /// Gives how long a probe may take, in milliseconds, before another is let through.
+    /// Time after which a probe without an outcome is followed by another, in milliseconds.
     pub probe_timeout_ms: u64,
-    /// Bounds the share of upstreams ejected at once, in percent.
+    /// Largest share of the upstreams that is ejected at once, in percent.
     pub max_ejected_percent: usize,
 }
 
@@ -37,18 +38,18 @@
     }
 }
 
-/// Tells whether an upstream takes a request.
+/// State of the circuit breaker of an upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// Means that it takes requests.
+    /// The upstream gets requests.
     Closed,
-    /// Means that it is ejected until the given time.
+    /// The upstream is ejected until the given time.
     Open(Instant),
-    /// Means that it takes this one request, which decides whether it comes back.
+    /// The upstream gets one request, whose outcome ends or renews the ejection.
     Probe,
 }
 
-/// Keeps the standing of all upstreams.
+/// Circuit breakers of all upstreams.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     policy: Policy,
@@ -56,21 +57,22 @@
     upstreams: BTreeMap<String, Health>,
 }
 
+/// Failures of an upstream since its last success.
 #[derive(Clone, Copy, Debug, Default)]
 struct Health {
     ejections: u32,
     failures: u32,
-    open: Option<Ejection>,
+    ejection: Option<Ejection>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
-    probe: Option<Instant>,
+    probed_at: Option<Instant>,
     until: Instant,
 }
 
 impl CircuitBreaker {
-    /// Returns a breaker that knows no upstream; `seed` fixes the jitter.
+    /// Returns a breaker without upstreams; `seed` determines the jitter.
     pub fn new(policy: Policy, seed: u64) -> Self {
         Self {
             policy,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Makes `names` the upstreams that exist.
+    /// Replaces the set of upstreams, and keeps the state of those that remain.
     pub fn sync(&mut self, names: impl IntoIterator<Item = String>) {
         let mut old = std::mem::take(&mut self.upstreams);
         for name in names {
@@ -88,69 +90,74 @@
         }
     }
 
-    /// Returns whether `upstream` takes a request now, without claiming a probe.
+    /// Returns the state of `upstream` without claiming a probe.
     pub fn state(&self, now: Instant, upstream: &str) -> State {
-        let open = self.upstreams.get(upstream).and_then(|h| h.open);
-        match open {
+        let ejection = self.upstreams.get(upstream).and_then(|h| h.ejection);
+        match ejection {
             None => State::Closed,
             Some(ejection) if now < ejection.until => State::Open(ejection.until),
-            Some(ejection) => match ejection.probe {
-                Some(begun) if now.since(begun) < self.policy.probe_timeout_ms => {
-                    State::Open(begun + self.policy.probe_timeout_ms)
+            Some(ejection) => match ejection.probed_at {
+                Some(probed_at) if now.since(probed_at) < self.policy.probe_timeout_ms => {
+                    State::Open(probed_at + self.policy.probe_timeout_ms)
                 }
                 _ => State::Probe,
             },
         }
     }
 
-    /// Returns whether `upstream` takes a request now; a probe is claimed by the asker.
+    /// Returns the state of `upstream`; in the state `Probe`, the next request of the caller is the
+    /// probe.
     pub fn admit(&mut self, now: Instant, upstream: &str) -> State {
-        let standing = self.state(now, upstream);
-        if standing == State::Probe
+        let state = self.state(now, upstream);
+        if state == State::Probe
             && let Some(health) = self.upstreams.get_mut(upstream)
-            && let Some(ejection) = &mut health.open
+            && let Some(ejection) = &mut health.ejection
         {
-            ejection.probe = Some(now);
+            ejection.probed_at = Some(now);
         }
-        standing
+        state
     }
 
-    /// Counts a failure and returns whether it ejected the upstream.
+    /// Records a failure and returns whether it ejected the upstream.
     pub fn record_failure(&mut self, now: Instant, upstream: impl Into<String>) -> bool {
-        let room = self.has_room();
+        let can_eject = self.can_eject();
         let policy = self.policy;
         let health = self.upstreams.entry(upstream.into()).or_default();
         health.failures = health.failures.saturating_add(1);
-        let again = match health.open {
-            None => health.failures >= policy.failures_to_eject && room,
+        let ejects = match health.ejection {
+            None => health.failures >= policy.failures_to_eject && can_eject,
             Some(ejection) => now >= ejection.until,
         };
-        if again {
+        if ejects {
             let doubled = policy.ejection_ms << health.ejections.min(16);
-            let limit = doubled.min(policy.ejection_limit_ms);
-            let pause = self.rng.random_range(limit / 2..=limit);
+            let limit_ms = doubled.min(policy.ejection_limit_ms);
+            let ejection_ms = self.rng.random_range(limit_ms / 2..=limit_ms);
             health.ejections += 1;
-            health.open = Some(Ejection {
-                probe: None,
-                until: now + pause,
+            health.ejection = Some(Ejection {
+                probed_at: None,
+                until: now + ejection_ms,
             });
         }
-        again
+        ejects
     }
 
-    /// Counts a success, which ends an ejection.
+    /// Records a success, which ends an ejection.
     pub fn record_success(&mut self, upstream: &str) {
         if let Some(health) = self.upstreams.get_mut(upstream) {
             *health = Health::default();
         }
     }
 
-    /// Returns how many upstreams are ejected.
+    /// Returns the number of ejected upstreams.
     pub fn ejected(&self) -> usize {
-        self.upstreams.values().filter(|h| h.open.is_some()).count()
+        self.upstreams
+            .values()
+            .filter(|h| h.ejection.is_some())
+            .count()
     }
 
-    fn has_room(&self) -> bool {
+    /// Returns whether one more upstream may be ejected.
+    fn can_eject(&self) -> bool {
         (self.ejected() + 1) * 100 <= self.upstreams.len() * self.policy.max_ejected_percent
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decides what the fleet does: placement, admission, agreement and repair.
+//! Decision logic of the fleet: placement, admission, consensus and recovery.
 //!
-//! Every decision is a step function: it takes the time and an event and returns typed effects.
+//! Every decision is a step function: it takes the time and an event, and returns typed effects.
 
 mod raft_election;
 mod raft_follower;
--- a/crates/coordination/src/outage.rs
+++ b/crates/coordination/src/outage.rs
@@ -1,21 +1,22 @@
-//! Outage: tells callers when to come back while this host cannot serve for want of a leader.
+//! Computes when callers should retry while this host cannot serve because there is no leader.
 //!
-//! Most outages end once the voters have elected a leader. One that lasts longer has another cause,
-//! and is as likely to last as long again.
+//! Most outages end once the voters have elected a leader. An outage that lasts longer has another
+//! cause, and is likely to last about as long again.
 
 use state::time::Instant;
 
-/// Gives the time in which the voters elect a leader and hosts hear from it, in milliseconds: the
-/// start of a process, an election timeout and a round of asks.
-const USUAL_MS: u64 = 1_700;
-/// Gives the least time after which a caller is told to come back, in milliseconds.
-const LEAST_MS: u64 = 400;
-/// Bounds that time, in milliseconds; most callers wait no longer.
-const MOST_MS: u64 = 8_000;
-/// Spreads callers that return over this part of the time, as a divisor.
-const SPREAD: u64 = 4;
+/// Time in which the voters elect a leader and hosts get its first update, in milliseconds: the
+/// start of a process, an election timeout and a round of requests.
+const TYPICAL_OUTAGE_MS: u64 = 1_700;
+/// Shortest time after which a caller is told to retry, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 400;
+/// Longest time after which a caller is told to retry, in milliseconds, before jitter; most callers
+/// wait no longer.
+const MAX_RETRY_AFTER_MS: u64 = 8_000;
+/// Jitter of the retry time, as a divisor of that time, so that callers do not return all at once.
+const JITTER_DIVISOR: u64 = 4;
 
-/// Keeps since when a host cannot serve.
+/// A period in which this host cannot serve.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     since: Instant,
@@ -27,14 +28,14 @@
         Self { since }
     }
 
-    /// Returns when a caller should come back, in milliseconds; `draw` spreads callers.
-    pub fn retry_after_ms(&self, now: Instant, draw: u64) -> u64 {
-        let lasted = now.since(self.since);
-        let left = match lasted < USUAL_MS {
-            false => lasted,
-            true => USUAL_MS - lasted,
+    /// Returns the time after which a caller should retry, in milliseconds; `random` is the jitter.
+    pub fn retry_after_ms(&self, now: Instant, random: u64) -> u64 {
+        let elapsed_ms = now.since(self.since);
+        let expected_ms = match elapsed_ms < TYPICAL_OUTAGE_MS {
+            false => elapsed_ms,
+            true => TYPICAL_OUTAGE_MS - elapsed_ms,
         };
-        let left = left.clamp(LEAST_MS, MOST_MS);
-        left + draw % (left / SPREAD + 1)
+        let expected_ms = expected_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
+        expected_ms + random % (expected_ms / JITTER_DIVISOR + 1)
     }
 }
--- a/crates/coordination/src/rendezvous.rs
+++ b/crates/coordination/src/rendezvous.rs
@@ -1,6 +1,6 @@
-//! Choice by highest hash: each key ranks all candidates, and a lost one moves only its own keys.
+//! Rendezvous hashing: each key ranks all candidates, and a lost candidate moves only its own keys.
 
-/// Returns the score of `candidate` for `key`; the highest wins.
+/// Returns the score of `candidate` for `key`; the candidate with the highest score is chosen.
 pub fn score(key: &[u8], candidate: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u64).to_le_bytes());
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -1,4 +1,4 @@
-//! Decides whether a failed attempt is made again, and when.
+//! Decides whether and when a failed attempt is retried, within retry budgets.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 
 use state::time::Instant;
 
-/// Counts budget in thousandths of an attempt.
-const ATTEMPT: u64 = 1_000;
+/// Cost of a retry; budgets count in thousandths of a retry.
+const RETRY_COST: u64 = 1_000;
 
-/// Tells why an attempt failed; each reason has a counter.
+/// Why an attempt failed; each reason has a counter.
 #[derive(
     Clone,
     Copy,
@@ -35,31 +35,31 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// Means that the upstream took no connection.
+    /// The upstream accepted no connection.
     Connect,
-    /// Means that the upstream crashed.
+    /// The upstream crashed.
     Crash,
-    /// Means that an answer named another attempt.
+    /// The answer belongs to another attempt.
     Crossed,
-    /// Means that the connection was cut.
+    /// The connection was closed before the answer was complete.
     Cut,
-    /// Means that an answer was not in the contract's format.
+    /// The answer was malformed.
     Format,
-    /// Means that tokens were missing or repeated.
+    /// Tokens of the answer were missing or repeated.
     Gap,
-    /// Means that the upstream sent nothing for too long.
+    /// The upstream sent nothing for too long.
     Idle,
-    /// Means that another run or weights version answered.
+    /// Another incarnation of the upstream, or another weights version, answered.
     Mismatch,
-    /// Means that an answer had no end mark.
+    /// The answer had no end mark.
     NoEnd,
-    /// Means that the upstream refused the request.
+    /// The upstream refused the request.
     Refused,
-    /// Means that the upstream answered with an error.
+    /// The upstream answered with an error status.
     Status,
 }
 
-/// Tells why a failed attempt is not made again; each denial has a counter.
+/// Why a failed attempt is not retried; each denial has a counter.
 #[derive(
     Clone,
     Copy,
@@ -78,32 +78,32 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Denial {
-    /// Means that the request was tried often enough.
+    /// The request has had all its attempts.
     Attempts,
-    /// Means that the deadline would pass before the next attempt.
+    /// The deadline would pass before the next attempt.
     Deadline,
-    /// Means that the request may have run and must not run twice.
+    /// The request is not idempotent and may have run.
     MayHaveRun,
-    /// Means that the upstream's budget is spent.
+    /// The retry budget of the upstream is exhausted.
     UpstreamBudget,
-    /// Means that the workspace's budget is spent.
+    /// The retry budget of the workspace is exhausted.
     WorkspaceBudget,
 }
 
-/// Bounds retries.
+/// Limits of retries: attempts, exponential backoff and token-bucket budgets.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Policy {
-    /// Bounds the attempts at one request, the first included.
+    /// Largest number of attempts at one request, including the first.
     pub attempt_limit: u32,
-    /// Bounds the pause before the second attempt, in milliseconds; it doubles from there.
+    /// Longest backoff before the second attempt, in milliseconds; it doubles with each attempt.
     pub initial_backoff_ms: u64,
-    /// Bounds every pause, in milliseconds.
+    /// Longest backoff before any attempt, in milliseconds.
     pub max_backoff_ms: u64,
-    /// Gives how many retries a budget holds when nothing has failed for long.
+    /// Retries in a full budget.
     pub burst: u64,
-    /// Gives how much each first attempt adds to a budget, in thousandths of a retry.
+    /// What each first attempt adds to a budget, in thousandths of a retry.
     pub deposit_per_attempt: u64,
-    /// Gives how much a budget gains each second, in thousandths of a retry.
+    /// What a budget gains per second, in thousandths of a retry.
     pub refill_per_s: u64,
 }
 
@@ -120,24 +120,24 @@
     }
 }
 
-/// Describes a failed attempt.
+/// A failed attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Failure {
-    /// Numbers the attempt from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Gives the time after which an answer is worth nothing.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// Tells whether the request may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Tells whether the attempt may have had an effect.
+    /// Whether the upstream may have run the attempt.
     pub may_have_run: bool,
-    /// Names the upstream.
+    /// Upstream of the attempt.
     pub upstream: String,
-    /// Names the workspace.
+    /// Workspace of the request.
     pub workspace: String,
 }
 
-/// Keeps the budgets of workspaces and upstreams.
+/// The retry budgets of workspaces and upstreams.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
     policy: Policy,
@@ -146,14 +146,15 @@
     workspaces: BTreeMap<String, Budget>,
 }
 
+/// A token bucket, in thousandths of a retry.
 #[derive(Clone, Copy, Debug)]
 struct Budget {
-    at: Instant,
-    left: u64,
+    refilled_at: Instant,
+    tokens: u64,
 }
 
 impl RetryBudgets {
-    /// Returns full budgets; `seed` fixes the jitter.
+    /// Returns full budgets; `seed` determines the jitter.
     pub fn new(policy: Policy, seed: u64) -> Self {
         Self {
             policy,
@@ -163,12 +164,12 @@
         }
     }
 
-    /// Bounds retries by another policy from now on; budgets shrink where they hold more.
+    /// Replaces the policy; budgets above the new burst shrink to it.
     pub fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// Counts a first attempt, which earns budget.
+    /// Records a first attempt, which adds to the budgets.
     pub fn record_first_attempt(
         &mut self,
         now: Instant,
@@ -180,11 +181,11 @@
         budget(&mut self.upstreams, upstream.into(), now, policy).deposit(policy);
     }
 
-    /// Returns the pause before the next attempt, in milliseconds, and charges the budgets.
+    /// Returns the backoff before the next attempt, in milliseconds, and charges the budgets.
     ///
     /// # Errors
     ///
-    /// Returns why there is no next attempt; no budget is charged then.
+    /// Returns the reason why there is no next attempt; then no budget is charged.
     pub fn try_retry(&mut self, now: Instant, failure: &Failure) -> Result<u64, Denial> {
         let policy = self.policy;
         if failure.may_have_run && !failure.idempotent {
@@ -193,73 +194,85 @@
         if failure.attempt >= policy.attempt_limit {
             return Err(Denial::Attempts);
         }
-        let pause = self.pause(failure.attempt);
-        if now + pause >= failure.deadline {
+        let backoff_ms = self.backoff_ms(failure.attempt);
+        if now + backoff_ms >= failure.deadline {
             return Err(Denial::Deadline);
         }
         let workspace = failure.workspace.clone();
         let upstream = failure.upstream.clone();
         let workspace = budget(&mut self.workspaces, workspace, now, policy);
-        if workspace.left < ATTEMPT {
+        if workspace.tokens < RETRY_COST {
             return Err(Denial::WorkspaceBudget);
         }
         let upstream = budget(&mut self.upstreams, upstream, now, policy);
-        if upstream.left < ATTEMPT {
+        if upstream.tokens < RETRY_COST {
             return Err(Denial::UpstreamBudget);
         }
-        workspace.left -= ATTEMPT;
-        upstream.left -= ATTEMPT;
-        Ok(pause)
+        workspace.tokens -= RETRY_COST;
+        upstream.tokens -= RETRY_COST;
+        Ok(backoff_ms)
     }
 
-    /// Returns whether the budgets of a workspace and an upstream hold a retry.
+    /// Returns whether the budgets of a workspace and an upstream allow a retry.
     pub fn can_retry(&self, now: Instant, workspace: &str, upstream: &str) -> bool {
-        let holds = |budgets: &BTreeMap<String, Budget>, name: &str| {
+        let can_pay = |budgets: &BTreeMap<String, Budget>, name: &str| {
             let budget = budgets.get(name);
-            budget.is_none_or(|budget| budget.refilled(now, self.policy).left >= ATTEMPT)
+            budget.is_none_or(|budget| budget.refilled(now, self.policy).tokens >= RETRY_COST)
         };
-        holds(&self.workspaces, workspace) && holds(&self.upstreams, upstream)
+        can_pay(&self.workspaces, workspace) && can_pay(&self.upstreams, upstream)
     }
 
-    /// Forgets the budgets that are full, which costs nothing.
+    /// Removes full budgets; a new budget starts full, so that this has no effect on retries.
     pub fn prune(&mut self, now: Instant) {
         let policy = self.policy;
-        let full = |budget: &Budget| budget.refilled(now, policy).left >= policy.burst * ATTEMPT;
+        let full =
+            |budget: &Budget| budget.refilled(now, policy).tokens >= policy.burst * RETRY_COST;
         self.upstreams.retain(|_, budget| !full(budget));
         self.workspaces.retain(|_, budget| !full(budget));
     }
 
-    fn pause(&mut self, attempt: u32) -> u64 {
+    /// Returns a random backoff between half of the exponential one and all of it.
+    fn backoff_ms(&mut self, attempt: u32) -> u64 {
         let doubled = self.policy.initial_backoff_ms << (attempt.saturating_sub(1)).min(16);
-        let limit = doubled.min(self.policy.max_backoff_ms);
-        self.rng.random_range(limit / 2..=limit)
+        let limit_ms = doubled.min(self.policy.max_backoff_ms);
+        self.rng.random_range(limit_ms / 2..=limit_ms)
     }
 }
 
 impl Budget {
     fn deposit(&mut self, policy: Policy) {
-        self.left = (self.left + policy.deposit_per_attempt).min(policy.burst * ATTEMPT);
+        self.tokens = (self.tokens + policy.deposit_per_attempt).min(policy.burst * RETRY_COST);
     }
 
     fn refilled(mut self, now: Instant, policy: Policy) -> Self {
-        let gain = now.since(self.at).saturating_mul(policy.refill_per_s) / 1_000;
+        let gain = now
+            .since(self.refilled_at)
+            .saturating_mul(policy.refill_per_s)
+            / 1_000;
         if gain > 0 {
-            self.left = self.left.saturating_add(gain).min(policy.burst * ATTEMPT);
-            self.at = now;
+            self.tokens = self
+                .tokens
+                .saturating_add(gain)
+                .min(policy.burst * RETRY_COST);
+            self.refilled_at = now;
         }
         self
     }
 }
 
+/// Returns the budget of a name, refilled up to now; a new one is full.
 fn budget(
     budgets: &mut BTreeMap<String, Budget>,
     name: String,
     now: Instant,
     policy: Policy,
 ) -> &mut Budget {
-    let left = policy.burst * ATTEMPT;
-    let budget = budgets.entry(name).or_insert(Budget { at: now, left });
+    let tokens = policy.burst * RETRY_COST;
+    let budget = budgets.entry(name).or_insert(Budget {
+        refilled_at: now,
+        tokens,
+    });
     *budget = budget.refilled(now, policy);
-    budget.left = budget.left.min(left);
+    budget.tokens = budget.tokens.min(tokens);
     budget
 }
--- a/crates/coordination/src/rotation.rs
+++ b/crates/coordination/src/rotation.rs
@@ -1,42 +1,42 @@
-//! Which host is asked for a newer table next.
+//! Selects the host that is asked for a newer table next.
 //!
-//! A host that brought something is asked again. One that brought nothing is left for the next: it
-//! may be cut off from the voters, or have no table itself and be asking this host.
+//! A host that sent a newer table is asked again. After one that did not, the next host is asked:
+//! the former may be partitioned from the voters, or have no table itself and be asking this host.
 
-/// Tells what came of asking a host.
+/// Outcome of asking a host for a newer table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Means that it brought a newer table.
+    /// The host sent a newer table.
     Newer,
-    /// Means that it did not answer, or with nothing that can be used.
+    /// The host sent no usable answer.
     NoAnswer,
-    /// Means that it has nothing newer.
+    /// The host has no newer table.
     Unchanged,
 }
 
-/// Chooses the host to ask.
+/// Round robin over hosts that stays at a host as long as it sends newer tables.
 #[derive(Clone, Copy, Debug)]
 pub struct Rotation {
-    turn: usize,
+    next: usize,
 }
 
 impl Rotation {
-    /// Returns a rotation that begins at a place.
-    pub fn new(turn: usize) -> Self {
-        Self { turn }
+    /// Returns a rotation that begins at an index.
+    pub fn new(next: usize) -> Self {
+        Self { next }
     }
 
-    /// Returns the source to ask.
+    /// Returns the host to ask, or nothing if `sources` is empty.
     pub fn source<T: Copy>(&self, sources: &[T]) -> Option<T> {
-        let place = self.turn.checked_rem(sources.len())?;
-        sources.get(place).copied()
+        let index = self.next.checked_rem(sources.len())?;
+        sources.get(index).copied()
     }
 
-    /// Notes what came of asking that source.
+    /// Records the outcome of asking that host.
     pub fn record(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Newer => {}
-            Outcome::NoAnswer | Outcome::Unchanged => self.turn = self.turn.wrapping_add(1),
+            Outcome::NoAnswer | Outcome::Unchanged => self.next = self.next.wrapping_add(1),
         }
     }
 }
--- a/crates/coordination/src/stream.rs
+++ b/crates/coordination/src/stream.rs
@@ -1,4 +1,5 @@
-//! Puts the pieces of an answer together across attempts, with nothing repeated, lost or foreign.
+//! Assembles an answer from the pieces of several attempts, without repeated, lost or foreign
+//! tokens.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,123 +7,123 @@
 use strum::IntoStaticStr;
 use thiserror::Error;
 
-/// Holds consecutive tokens of an answer.
+/// Consecutive tokens of an answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Piece {
-    /// Tells why the answer ended, in its last piece.
+    /// Why the answer ended, in its last piece.
     pub finish: Option<Finish>,
-    /// Names the attempt that the piece answers.
+    /// ID of the attempt that the piece belongs to.
     pub id: String,
-    /// Gives the offset of the first token.
+    /// Offset of the first token in the answer.
     pub offset: u64,
-    /// Holds the text.
+    /// Text of the tokens.
     pub text: String,
-    /// Counts the tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// Tells why an answer ended.
+/// Why an answer ended.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, IntoStaticStr, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Finish {
-    /// Means that the upstream was told to stop.
+    /// The upstream was told to cancel it.
     Cancelled,
-    /// Means that the answer reached its bound.
+    /// The answer reached its limit.
     Length,
-    /// Means that the model ended the answer.
+    /// The model ended it.
     Stop,
 }
 
-/// Tells why an attempt must be given up; what was accepted before stays valid.
+/// Why an attempt must be given up; the pieces accepted before stay valid.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum StreamError {
-    /// Reports an end that nobody on this side asked for.
+    /// The upstream ended the answer as cancelled, which this side did not request.
     #[error("the upstream cancelled the answer at offset {at}")]
     Cancelled {
-        /// Gives the offset.
+        /// Offset of the piece that ended it.
         at: u64,
     },
-    /// Reports a piece of another attempt.
+    /// A piece belongs to another attempt.
     #[error("a piece answers attempt `{found}`, not `{expected}`")]
     Crossed {
-        /// Names the attempt in progress.
+        /// ID of the current attempt.
         expected: String,
-        /// Names the attempt of the piece.
+        /// ID of the attempt of the piece.
         found: String,
     },
-    /// Reports a piece after the finishing one.
+    /// A piece follows the finishing one.
     #[error("a piece at offset {found} follows the end of the answer")]
     Extra {
-        /// Gives the offset of the piece.
+        /// Offset of the piece.
         found: u64,
     },
-    /// Reports that tokens are missing before a piece.
+    /// Tokens are missing before a piece.
     #[error("a piece starts at offset {found}, but {expected} comes next")]
     Gap {
-        /// Gives the offset that comes next.
+        /// Offset of the next token.
         expected: u64,
-        /// Gives the offset of the piece.
+        /// Offset of the piece.
         found: u64,
     },
-    /// Reports an answer that is longer than its bound.
-    #[error("the answer is longer than its bound of {limit}")]
+    /// The answer exceeds one of its limits.
+    #[error("the answer exceeds its limit of {limit}")]
     LimitExceeded {
-        /// Gives the bound, in tokens or in bytes.
+        /// The limit, in tokens or in bytes.
         limit: u64,
     },
-    /// Reports a stream that ended before the answer did.
+    /// The stream ended before the answer did.
     #[error("the stream ended at offset {at} without its end mark")]
     NoEnd {
-        /// Gives the offset that would come next.
+        /// Offset of the next token.
         at: u64,
     },
-    /// Reports tokens that were accepted before.
+    /// A piece repeats tokens that were accepted before.
     #[error("a piece starts at offset {found}, but {expected} comes next; tokens repeat")]
     Repeat {
-        /// Gives the offset that comes next.
+        /// Offset of the next token.
         expected: u64,
-        /// Gives the offset of the piece.
+        /// Offset of the piece.
         found: u64,
     },
-    /// Reports an attempt with other weights than those that gave the tokens accepted before.
+    /// The weights of the attempt differ from those of the tokens accepted before.
     #[error("the answer began with weights `{expected}`, not `{found}`")]
     Version {
-        /// Names the weights version of the tokens accepted before.
+        /// Weights version of the tokens accepted before.
         expected: String,
-        /// Names the weights version of the attempt.
+        /// Weights version of the attempt.
         found: String,
     },
 }
 
-/// Tells the next upstream where to go on.
+/// The state from which the next attempt resumes the answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ResumePoint {
-    /// Counts the tokens accepted so far.
+    /// Number of tokens accepted so far.
     pub offset: u64,
-    /// Holds their text.
+    /// Text of these tokens.
     pub text: String,
-    /// Names the weights version that they came from, if there are any.
+    /// Weights version of these tokens, if there are any.
     pub version: Option<String>,
 }
 
-/// Bounds an answer.
+/// Limits of an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Bounds the text, in bytes.
+    /// Longest text, in bytes.
     pub bytes: u64,
-    /// Bounds the answer, in tokens.
+    /// Largest number of tokens.
     pub tokens: u64,
 }
 
-/// Accepts the pieces of one answer in order.
+/// Assembles one answer from its pieces.
 #[derive(Clone, Debug)]
 pub struct Assembler {
     attempt: Option<Attempt>,
     limits: Limits,
-    ended: bool,
+    end_mark_seen: bool,
     finish: Option<Finish>,
-    next: u64,
+    next_offset: u64,
     text: String,
     version: Option<String>,
 }
@@ -134,24 +135,24 @@
 }
 
 impl Assembler {
-    /// Returns an assembler for an answer within `bound`.
+    /// Returns an assembler for an answer within `limits`.
     pub fn new(limits: Limits) -> Self {
         Self {
             attempt: None,
             limits,
-            ended: false,
+            end_mark_seen: false,
             finish: None,
-            next: 0,
+            next_offset: 0,
             text: String::new(),
             version: None,
         }
     }
 
-    /// Starts an attempt; pieces of any earlier one are foreign from now on.
+    /// Starts an attempt; pieces of earlier attempts are rejected from now on.
     ///
     /// # Errors
     ///
-    /// Returns an error when tokens of another weights version were accepted before.
+    /// Returns an error if tokens of another weights version were accepted before.
     pub fn begin_attempt(
         &mut self,
         id: impl Into<String>,
@@ -170,52 +171,56 @@
         Ok(())
     }
 
-    /// Accepts the end of the bytes.
+    /// Records the end of the byte stream.
     ///
     /// # Errors
     ///
-    /// Returns an error unless the end mark came before.
+    /// Returns an error unless the end mark arrived before.
     pub fn close(&self) -> Result<(), StreamError> {
-        match self.ended {
-            false => Err(StreamError::NoEnd { at: self.next }),
+        match self.end_mark_seen {
+            false => Err(StreamError::NoEnd {
+                at: self.next_offset,
+            }),
             true => Ok(()),
         }
     }
 
-    /// Accepts the end mark.
+    /// Records the end mark.
     ///
     /// # Errors
     ///
-    /// Returns an error when the finishing piece has not come.
+    /// Returns an error if the finishing piece has not arrived.
     pub fn end(&mut self) -> Result<Finish, StreamError> {
-        let finish = self.finish.ok_or(StreamError::NoEnd { at: self.next })?;
-        self.ended = true;
+        let finish = self.finish.ok_or(StreamError::NoEnd {
+            at: self.next_offset,
+        })?;
+        self.end_mark_seen = true;
         Ok(finish)
     }
 
-    /// Returns whether the whole answer was accepted.
+    /// Returns whether the answer is complete, including its end mark.
     pub fn is_complete(&self) -> bool {
-        self.ended
+        self.end_mark_seen
     }
 
-    /// Returns how many tokens were accepted.
+    /// Returns the number of accepted tokens.
     pub fn len(&self) -> u64 {
-        self.next
+        self.next_offset
     }
 
     /// Returns whether no token was accepted.
     pub fn is_empty(&self) -> bool {
-        self.next == 0
+        self.next_offset == 0
     }
 
     /// Accepts the next piece of the current attempt.
     ///
     /// # Errors
     ///
-    /// Returns why the attempt must be given up; nothing of the piece was accepted then.
+    /// Returns the reason why the attempt must be given up; then nothing of the piece is accepted.
     pub fn push(&mut self, piece: &Piece) -> Result<(), StreamError> {
         self.check(piece)?;
-        self.next += piece.tokens;
+        self.next_offset += piece.tokens;
         self.text.push_str(&piece.text);
         self.finish = piece.finish;
         if piece.tokens > 0 {
@@ -224,12 +229,13 @@
         Ok(())
     }
 
-    /// Returns where the next attempt goes on; one that missed only the end mark ends again.
+    /// Ends the current attempt, and returns the state from which the next one resumes. If only the
+    /// end mark was missing, the next attempt has to send the finishing piece again.
     pub fn resume(&mut self) -> ResumePoint {
         self.attempt = None;
         self.finish = None;
         ResumePoint {
-            offset: self.next,
+            offset: self.next_offset,
             text: self.text.clone(),
             version: self.version.clone(),
         }
@@ -240,8 +246,9 @@
         &self.text
     }
 
+    /// Checks a piece against the current attempt, the next offset and the limits.
     fn check(&self, piece: &Piece) -> Result<(), StreamError> {
-        let expected = self.next;
+        let expected = self.next_offset;
         let found = piece.offset;
         let current = self.attempt.as_ref().map_or("", |a| a.id.as_str());
         if self.attempt.is_none() || current != piece.id {
@@ -250,7 +257,7 @@
                 found: piece.id.clone(),
             });
         }
-        if self.finish.is_some() || self.ended {
+        if self.finish.is_some() || self.end_mark_seen {
             return Err(StreamError::Extra { found });
         }
         if found > expected {
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -1,40 +1,40 @@
-//! What one host knows of the fleet at one moment.
+//! Membership view: the hosts of the fleet as one host sees them at one moment.
 
 use crate::host::Record;
 use crate::host::Role;
 use crate::host::Standing;
 
-/// Describes one host.
+/// One host of the fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// Tells whether the host answers this one directly.
+    /// Whether the host answers this host directly.
     pub reachable: bool,
-    /// Holds the report in force.
+    /// Newest record of the host.
     pub record: Record,
 }
 
-/// Lists all hosts, this one included, in order of name.
+/// All hosts, including this one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct View {
-    /// Lists the hosts.
+    /// The hosts, sorted by name.
     pub hosts: Vec<Member>,
-    /// Tells that this host hears from nobody.
+    /// Whether no other host answers this host.
     pub isolated: bool,
-    /// Names this host.
+    /// Name of this host.
     pub me: String,
 }
 
 impl View {
-    /// Returns the host of that name.
+    /// Returns the host with this name, if it is in the view.
     pub fn get(&self, host: impl AsRef<str>) -> Option<&Member> {
         let host = host.as_ref();
-        let place = self
+        let index = self
             .hosts
             .binary_search_by(|m| m.record.host.as_str().cmp(host));
-        place.ok().map(|place| &self.hosts[place])
+        index.ok().map(|index| &self.hosts[index])
     }
 
-    /// Iterates over the hosts that may be there and play `role`.
+    /// Iterates over the hosts with this role that are present or may be.
     pub fn present(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.hosts.iter().filter(move |member| {
             let record = &member.record;
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Counts the hosts of one standing.
+    /// Returns the number of hosts with this standing.
     pub fn count(&self, standing: Standing) -> usize {
         let same = |member: &&Member| member.record.standing == standing;
         self.hosts.iter().filter(same).count()
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts for the tests of the fleet.
+//! Host fixtures for the tests of membership and gossip.
 
 use std::net::SocketAddr;
 
@@ -6,29 +6,29 @@
 use coordination::host::Profile;
 use coordination::host::Role;
 
-/// Names the host at a place.
-pub fn name(place: usize) -> String {
-    format!("host-{place:03}")
+/// Returns the name of the host with this index.
+pub fn name(index: usize) -> String {
+    format!("host-{index:03}")
 }
 
-/// Returns the peer address of the host at a place.
-pub fn address(place: usize) -> SocketAddr {
-    let place = u16::try_from(place).unwrap();
-    let [high, low] = place.to_be_bytes();
+/// Returns the peer address of the host with this index.
+pub fn address(index: usize) -> SocketAddr {
+    let index = u16::try_from(index).unwrap();
+    let [high, low] = index.to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 7000))
 }
 
-/// Returns what the host at a place says of itself.
-pub fn profile(place: usize, domains: usize) -> Profile {
-    let mut entry = address(place);
+/// Returns the profile of the host with this index, in one of `domains` failure domains.
+pub fn profile(index: usize, domains: usize) -> Profile {
+    let mut entry = address(index);
     entry.set_port(8000);
     Profile {
-        domain: format!("domain-{}", place % domains),
+        domain: format!("domain-{}", index % domains),
         draining: false,
         gateway: None,
         entry: Some(entry),
         load: Load::Normal,
-        peer: address(place),
+        peer: address(index),
         region: "quebec".to_owned(),
         roles: [Role::Broker, Role::Entry].into_iter().collect(),
     }
--- a/crates/coordination/tests/stream.rs
+++ b/crates/coordination/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Checks that an answer is put together whole, in order and from its own attempts only.
+//! Tests that an answer is assembled completely, in order and from its own attempts only.
 
 use proptest::collection::vec;
 use proptest::prelude::any;
@@ -45,8 +45,8 @@
 }
 
 #[test]
-fn each_bad_piece_is_refused_and_leaves_the_answer_as_it_was() {
-    let crossed = Piece {
+fn each_invalid_piece_is_refused_and_leaves_the_answer_unchanged() {
+    let foreign = Piece {
         id: "b".to_owned(),
         ..piece(2)
     };
@@ -54,18 +54,18 @@
         finish: Some(Finish::Cancelled),
         ..piece(2)
     };
-    let many = Piece {
+    let too_many_tokens = Piece {
         tokens: 3,
         ..piece(2)
     };
-    let heavy = Piece {
+    let too_many_bytes = Piece {
         text: "x".repeat(37),
         ..piece(2)
     };
     let cases = [
         (cancelled, StreamError::Cancelled { at: 2 }),
         (
-            crossed,
+            foreign,
             StreamError::Crossed {
                 expected: "a".to_owned(),
                 found: "b".to_owned(),
@@ -78,8 +78,8 @@
                 found: 3,
             },
         ),
-        (many, StreamError::LimitExceeded { limit: 4 }),
-        (heavy, StreamError::LimitExceeded { limit: 40 }),
+        (too_many_tokens, StreamError::LimitExceeded { limit: 4 }),
+        (too_many_bytes, StreamError::LimitExceeded { limit: 40 }),
         (
             piece(1),
             StreamError::Repeat {
@@ -88,9 +88,9 @@
             },
         ),
     ];
-    for (bad, fault) in cases {
+    for (invalid, error) in cases {
         let mut answer = started();
-        assert_eq!(answer.push(&bad), Err(fault));
+        assert_eq!(answer.push(&invalid), Err(error));
         assert_eq!((answer.text(), answer.len()), ("0 1 ", 2));
     }
 }
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn only_the_finishing_piece_and_the_end_mark_make_an_answer_whole() {
+fn an_answer_is_complete_after_its_finishing_piece_and_its_end_mark() {
     let mut answer = started();
     assert_eq!(answer.end(), Err(StreamError::NoEnd { at: 2 }));
     answer.push(&finishing(2)).unwrap();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_answer_that_missed_its_end_mark_ends_in_the_next_attempt() {
+fn an_answer_without_its_end_mark_ends_in_the_next_attempt() {
     let mut answer = started();
     answer.push(&finishing(2)).unwrap();
     assert_eq!(answer.resume().offset, 2);
@@ -129,37 +129,37 @@
 }
 
 #[test]
-fn a_late_piece_of_an_earlier_attempt_is_foreign() {
+fn a_late_piece_of_an_earlier_attempt_is_refused() {
     let mut answer = started();
     let resume = answer.resume();
     assert_eq!((resume.offset, resume.text.as_str()), (2, "0 1 "));
     assert_eq!(resume.version.as_deref(), Some("v1"));
-    let crossed = StreamError::Crossed {
+    let foreign = StreamError::Crossed {
         expected: String::new(),
         found: "a".to_owned(),
     };
-    assert_eq!(answer.push(&piece(2)), Err(crossed));
+    assert_eq!(answer.push(&piece(2)), Err(foreign));
     answer.begin_attempt("b", "v1").unwrap();
-    let crossed = StreamError::Crossed {
+    let foreign = StreamError::Crossed {
         expected: "b".to_owned(),
         found: "a".to_owned(),
     };
-    assert_eq!(answer.push(&piece(2)), Err(crossed));
+    assert_eq!(answer.push(&piece(2)), Err(foreign));
 }
 
 #[test]
-fn tokens_of_two_weights_versions_never_meet() {
+fn tokens_of_two_weights_versions_are_never_mixed() {
     let mut answer = started();
     answer.resume();
-    let fault = StreamError::Version {
+    let error = StreamError::Version {
         expected: "v1".to_owned(),
         found: "v2".to_owned(),
     };
-    assert_eq!(answer.begin_attempt("b", "v2"), Err(fault));
+    assert_eq!(answer.begin_attempt("b", "v2"), Err(error));
 }
 
 #[test]
-fn an_answer_without_tokens_may_change_its_version() {
+fn an_answer_without_tokens_may_change_its_weights_version() {
     let mut answer = Assembler::new(LIMITS);
     answer.begin_attempt("a", "v1").unwrap();
     assert_eq!(answer.resume().version, None);
@@ -168,7 +168,7 @@
 
 proptest! {
     #[test]
-    fn whatever_comes_the_text_is_a_prefix_of_the_answer(
+    fn the_text_is_always_a_prefix_of_the_answer(
         moves in vec((any::<bool>(), 0_u64..12, 0_u64..3), 0..60),
     ) {
         let limits = Limits { bytes: 1_000, tokens: 10 };
