--- a/crates/coordination/tests/admission.rs
+++ b/crates/coordination/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who is served next, who is refused, and what is left to others in a flood.
+//! Checks which requests are served next and which are refused, also under overload.
 
 mod support;
 
@@ -11,166 +11,187 @@
 use state::column::Column;
 use state::rank::Rank;
 use state::sheet::Sheet;
-use support::Desk;
+use support::BrokerHarness;
 use support::SLOTS;
-use support::ask;
 use support::grants;
 use support::refusals;
+use support::request;
 
-type Setting = fn(&mut Desk);
+type SetLimit = fn(&mut BrokerHarness);
 
-const SERVICE_MS: u64 = 400;
+const SERVICE_TIME_MS: u64 = 400;
 
-/// Counts what was granted, by a label of the ask.
+/// Simulates arrivals at a broker and records what it grants; times are in milliseconds.
 #[derive(Default)]
-struct Flood {
+struct Simulation {
     arrivals: Vec<(u64, PlacementRequest)>,
     granted: Vec<(u64, PlacementRequest)>,
 }
 
-impl Flood {
-    /// Adds `count` asks a second for the given time.
-    fn from(mut self, rank: Rank, workspace: &str, caller: &str, count: u64, millis: u64) -> Self {
+impl Simulation {
+    /// Adds `count` requests per second for the given time.
+    fn with_arrivals(
+        mut self,
+        rank: Rank,
+        workspace: &str,
+        caller: &str,
+        count: u64,
+        millis: u64,
+    ) -> Self {
         for at in 0..count * millis / 1_000 {
             let serial = self.arrivals.len() as u128;
             let due = 1_000 + at * 1_000 / count;
-            let mut ask = ask(serial, rank, workspace, caller, 0);
-            ask.prompt_tokens = 1_000;
-            self.arrivals.push((due, ask));
+            let mut request = request(serial, rank, workspace, caller, 0);
+            request.prompt_tokens = 1_000;
+            self.arrivals.push((due, request));
         }
         self
     }
 
-    /// Runs the asks against one upstream that takes a fixed time for each.
+    /// Runs the arrivals against one upstream that takes a fixed time for each request.
     fn run(mut self, millis: u64) -> Self {
-        let mut desk = Desk::new(&["a"]);
-        let mut ends: Vec<(u64, PlacementId)> = Vec::new();
+        let mut harness = BrokerHarness::new(&["a"]);
+        let mut completions: Vec<(u64, PlacementId)> = Vec::new();
         let mut arrivals = std::mem::take(&mut self.arrivals);
         arrivals.sort_by_key(|(at, _)| *at);
         let mut arrivals = arrivals.into_iter().peekable();
-        let mut asks = std::collections::HashMap::new();
-        while desk.now < 1_000 + millis {
-            let mut effects = desk.tick(5);
-            while let Some((_, ask)) = arrivals.next_if(|(at, _)| *at <= desk.now) {
-                asks.insert(ask.placement_id, ask.clone());
-                effects.extend(desk.ask(ask));
+        let mut requests = std::collections::HashMap::new();
+        while harness.now < 1_000 + millis {
+            let mut effects = harness.advance(5);
+            while let Some((_, request)) = arrivals.next_if(|(at, _)| *at <= harness.now) {
+                requests.insert(request.placement_id, request.clone());
+                effects.extend(harness.submit(request));
             }
-            let now = desk.now;
-            for (_, placement_id) in ends.extract_if(.., |(at, _)| *at <= now) {
-                effects.extend(desk.report(placement_id, Progress::FirstToken));
-                effects.extend(desk.report(placement_id, Progress::Finished));
+            let now = harness.now;
+            for (_, placement_id) in completions.extract_if(.., |(at, _)| *at <= now) {
+                effects.extend(harness.report_progress(placement_id, Progress::FirstToken));
+                effects.extend(harness.report_progress(placement_id, Progress::Finished));
             }
             for grant in grants(&effects) {
-                ends.push((now + SERVICE_MS, grant.placement_id));
-                self.granted.push((now, asks[&grant.placement_id].clone()));
+                completions.push((now + SERVICE_TIME_MS, grant.placement_id));
+                self.granted
+                    .push((now, requests[&grant.placement_id].clone()));
             }
         }
         self
     }
 
-    fn count(&self, wanted: impl Fn(&PlacementRequest) -> bool) -> usize {
-        self.granted.iter().filter(|(_, ask)| wanted(ask)).count()
+    fn count_granted(&self, is_counted: impl Fn(&PlacementRequest) -> bool) -> usize {
+        self.granted
+            .iter()
+            .filter(|(_, request)| is_counted(request))
+            .count()
     }
 }
 
 #[test]
-fn flood_of_background_leaves_urgent_all_it_asks_for() {
-    let flood = Flood::default()
-        .from(Rank::Background, "shops", "b", 100, 10_000)
-        .from(Rank::Urgent, "maps", "u", 4, 10_000)
+fn background_flood_does_not_reduce_urgent_throughput() {
+    let simulation = Simulation::default()
+        .with_arrivals(Rank::Background, "shops", "b", 100, 10_000)
+        .with_arrivals(Rank::Urgent, "maps", "u", 4, 10_000)
         .run(10_000);
-    assert_eq!(flood.count(|ask| ask.rank == Rank::Urgent), 40);
+    assert_eq!(
+        simulation.count_granted(|request| request.rank == Rank::Urgent),
+        40
+    );
 }
 
 #[test]
-fn flood_of_urgent_leaves_background_its_floor() {
-    let flood = Flood::default()
-        .from(Rank::Background, "shops", "b", 20, 10_000)
-        .from(Rank::Urgent, "maps", "u", 100, 10_000)
+fn urgent_flood_leaves_background_its_guaranteed_share() {
+    let simulation = Simulation::default()
+        .with_arrivals(Rank::Background, "shops", "b", 20, 10_000)
+        .with_arrivals(Rank::Urgent, "maps", "u", 100, 10_000)
         .run(10_000);
-    let background = flood.count(|ask| ask.rank == Rank::Background);
-    let share = 100 * background / flood.granted.len();
+    let background = simulation.count_granted(|request| request.rank == Rank::Background);
+    let share = 100 * background / simulation.granted.len();
     assert!((18..=25).contains(&share), "background got {share} %");
 }
 
 #[test]
-fn small_caller_is_served_beside_a_large_one() {
+fn small_caller_is_not_starved_by_a_large_one() {
     for rank in [Rank::Background, Rank::Urgent] {
-        let flood = Flood::default()
-            .from(rank, "maps", "large", 200, 10_000)
-            .from(rank, "maps", "small", 2, 10_000)
+        let simulation = Simulation::default()
+            .with_arrivals(rank, "maps", "large", 200, 10_000)
+            .with_arrivals(rank, "maps", "small", 2, 10_000)
             .run(10_500);
-        assert_eq!(flood.count(|ask| ask.caller == "small"), 20, "{rank}");
+        assert_eq!(
+            simulation.count_granted(|request| request.caller == "small"),
+            20,
+            "{rank}"
+        );
     }
 }
 
 #[test]
-fn small_workspace_is_served_beside_a_large_one() {
-    let flood = Flood::default()
-        .from(Rank::Background, "large", "c", 200, 10_000)
-        .from(Rank::Background, "small", "c", 2, 10_000)
+fn small_workspace_is_not_starved_by_a_large_one() {
+    let simulation = Simulation::default()
+        .with_arrivals(Rank::Background, "large", "c", 200, 10_000)
+        .with_arrivals(Rank::Background, "small", "c", 2, 10_000)
         .run(10_500);
-    assert_eq!(flood.count(|ask| ask.workspace == "small"), 20);
+    assert_eq!(
+        simulation.count_granted(|request| request.workspace == "small"),
+        20
+    );
 }
 
 #[test]
-fn caller_queue_is_bounded() {
-    let mut desk = Desk::new(&["a"]);
+fn queued_requests_of_one_caller_are_limited() {
+    let mut harness = BrokerHarness::new(&["a"]);
     let mut refused = Vec::new();
     for serial in 0..1_000 {
-        let effects = desk.ask(ask(serial, Rank::Background, "maps", "c", 2));
+        let effects = harness.submit(request(serial, Rank::Background, "maps", "c", 2));
         refused.extend(refusals(&effects));
     }
-    assert_eq!(desk.broker.queued(Rank::Background), 256);
+    assert_eq!(harness.broker.queued(Rank::Background), 256);
     assert_eq!(refused[0], Reason::Overloaded);
 }
 
 #[test]
-fn limits_of_rows_hold() {
-    let cases: [(Reason, Setting); 4] = [
+fn limits_of_the_table_are_enforced_until_requests_end() {
+    let cases: [(Reason, SetLimit); 4] = [
         (Reason::CallerLimit, |d| {
-            d.workspace("maps", &[(Column::CallerLimit, "2")]);
+            d.set_workspace("maps", &[(Column::CallerLimit, "2")]);
         }),
         (Reason::KindLimit, |d| {
             let cells = [(Column::Rank, "urgent"), (Column::Limit, "2")];
-            d.row(Sheet::Kinds, "urgent", &cells);
+            d.set_row(Sheet::Kinds, "urgent", &cells);
         }),
         (Reason::RateLimit, |d| {
-            d.workspace("maps", &[(Column::Rate, "150")]);
+            d.set_workspace("maps", &[(Column::Rate, "150")]);
         }),
         (Reason::WorkspaceLimit, |d| {
-            d.workspace("maps", &[(Column::Limit, "2")]);
+            d.set_workspace("maps", &[(Column::Limit, "2")]);
         }),
     ];
-    for (reason, limit) in cases {
-        let mut desk = Desk::new(&["a"]);
-        limit(&mut desk);
+    for (reason, set_limit) in cases {
+        let mut harness = BrokerHarness::new(&["a"]);
+        set_limit(&mut harness);
         for serial in 0..2 {
-            let effects = desk.ask(ask(serial, Rank::Urgent, "maps", "c", 0));
+            let effects = harness.submit(request(serial, Rank::Urgent, "maps", "c", 0));
             assert_eq!(refusals(&effects), [], "{reason}");
         }
-        let effects = desk.ask(ask(2, Rank::Urgent, "maps", "c", 0));
+        let effects = harness.submit(request(2, Rank::Urgent, "maps", "c", 0));
         assert_eq!(refusals(&effects), [reason]);
-        let effects = desk.ask(ask(3, Rank::Urgent, "shops", "c", 0));
+        let effects = harness.submit(request(3, Rank::Urgent, "shops", "c", 0));
         let other = refusals(&effects);
         assert_eq!(other.is_empty(), reason != Reason::KindLimit, "{reason}");
         for serial in 0..2 {
-            desk.report(PlacementId(serial), Progress::Finished);
+            harness.report_progress(PlacementId(serial), Progress::Finished);
         }
-        desk.tick(3_000);
-        let effects = desk.ask(ask(4, Rank::Urgent, "maps", "c", 0));
+        harness.advance(3_000);
+        let effects = harness.submit(request(4, Rank::Urgent, "maps", "c", 0));
         assert_eq!(refusals(&effects), [], "{reason} is over");
     }
 }
 
 #[test]
-fn share_of_a_limit_is_all_that_a_broker_uses() {
-    let mut desk = Desk::new(&["a"]);
-    desk.workspace("maps", &[(Column::Limit, "8")]);
-    desk.step(Event::Share(250));
+fn broker_admits_only_its_share_of_a_limit() {
+    let mut harness = BrokerHarness::new(&["a"]);
+    harness.set_workspace("maps", &[(Column::Limit, "8")]);
+    harness.step(Event::Share(250));
     let mut refused = 0;
     for serial in 0..8 {
-        let effects = desk.ask(ask(serial, Rank::Urgent, "maps", "c", 0));
+        let effects = harness.submit(request(serial, Rank::Urgent, "maps", "c", 0));
         refused += refusals(&effects).len();
     }
     assert_eq!(refused, 6);
@@ -178,14 +199,14 @@
 
 #[test]
 fn request_that_cannot_meet_its_deadline_is_refused_early() {
-    let mut desk = Desk::new(&["a"]);
+    let mut harness = BrokerHarness::new(&["a"]);
     for serial in 0..100 {
-        desk.ask(ask(serial, Rank::Background, "maps", "c", 2));
+        harness.submit(request(serial, Rank::Background, "maps", "c", 2));
     }
-    desk.tick(2_000);
-    let mut hopeless = ask(200, Rank::Background, "maps", "c", 2);
-    hopeless.deadline_ms = 500;
-    let effects = desk.ask(hopeless);
+    harness.advance(2_000);
+    let mut request = request(200, Rank::Background, "maps", "c", 2);
+    request.deadline_ms = 500;
+    let effects = harness.submit(request);
     let [Effect::Refuse(refusal)] = effects.as_slice() else {
         panic!("expected a refusal, got {effects:?}");
     };
@@ -194,35 +215,35 @@
 }
 
 #[test]
-fn deadline_that_passes_in_the_queue_is_refused() {
-    let mut desk = Desk::new(&["a"]);
+fn queued_request_is_refused_when_its_deadline_passes() {
+    let mut harness = BrokerHarness::new(&["a"]);
     for serial in 0..u128::from(SLOTS) {
-        desk.ask(ask(serial, Rank::Urgent, "maps", "c", 0));
+        harness.submit(request(serial, Rank::Urgent, "maps", "c", 0));
     }
-    let mut waiting = ask(50, Rank::Urgent, "maps", "c", 0);
+    let mut waiting = request(50, Rank::Urgent, "maps", "c", 0);
     waiting.deadline_ms = 300;
-    desk.ask(waiting);
-    assert_eq!(refusals(&desk.tick(299)), []);
-    assert_eq!(refusals(&desk.tick(100)), [Reason::Deadline]);
+    harness.submit(waiting);
+    assert_eq!(refusals(&harness.advance(299)), []);
+    assert_eq!(refusals(&harness.advance(100)), [Reason::Deadline]);
 }
 
 #[test]
-fn cancelled_request_leaves_queue_and_limits() {
-    let mut desk = Desk::new(&["a"]);
-    desk.workspace("maps", &[(Column::Limit, "2")]);
-    desk.ask(ask(1, Rank::Background, "maps", "c", 9));
-    desk.ask(ask(2, Rank::Background, "maps", "c", 9));
+fn cancelled_request_no_longer_counts_in_queue_and_limits() {
+    let mut harness = BrokerHarness::new(&["a"]);
+    harness.set_workspace("maps", &[(Column::Limit, "2")]);
+    harness.submit(request(1, Rank::Background, "maps", "c", 9));
+    harness.submit(request(2, Rank::Background, "maps", "c", 9));
     assert_eq!(
         (
-            desk.broker.in_flight(),
-            desk.broker.queued(Rank::Background)
+            harness.broker.in_flight(),
+            harness.broker.queued(Rank::Background)
         ),
         (1, 1)
     );
-    desk.step(Event::Cancel(PlacementId(2)));
-    assert_eq!(desk.broker.queued(Rank::Background), 0);
-    desk.step(Event::Cancel(PlacementId(1)));
-    assert_eq!(desk.broker.in_flight(), 0);
-    let effects = desk.ask(ask(3, Rank::Background, "maps", "c", 9));
+    harness.step(Event::Cancel(PlacementId(2)));
+    assert_eq!(harness.broker.queued(Rank::Background), 0);
+    harness.step(Event::Cancel(PlacementId(1)));
+    assert_eq!(harness.broker.in_flight(), 0);
+    let effects = harness.submit(request(3, Rank::Background, "maps", "c", 9));
     assert_eq!(grants(&effects).len(), 1);
 }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small broker with its table, for tests.
+//! A broker with its table, which tests drive in virtual time.
 
 #![allow(dead_code)]
 
@@ -29,31 +29,31 @@
 use state::table::Table;
 use state::time::Instant;
 
-pub const RATE: u32 = 20_000;
+pub const PREFILL_RATE: u32 = 20_000;
 pub const SLOTS: u32 = 8;
 
-/// Drives a broker in virtual time.
-pub struct Desk {
+/// A broker, its table and a virtual clock.
+pub struct BrokerHarness {
     pub broker: Broker,
     pub now: u64,
     table: Table,
 }
 
-impl Desk {
+impl BrokerHarness {
     pub fn new(upstreams: &[&str]) -> Self {
-        let mut desk = Self {
+        let mut harness = Self {
             broker: Broker::default(),
             now: 1_000,
             table: Table::default(),
         };
         for name in upstreams {
-            desk.engine(name);
+            harness.add_engine(name);
         }
-        desk
+        harness
     }
 
-    pub fn engine(&mut self, name: &str) {
-        self.row(
+    pub fn add_engine(&mut self, name: &str) {
+        self.set_row(
             Sheet::Upstreams,
             name,
             &[
@@ -63,10 +63,10 @@
                 (Column::Type, "engine"),
             ],
         );
-        self.load(name, 1);
+        self.report_load(name, 1);
     }
 
-    pub fn row(&mut self, sheet: Sheet, name: &str, cells: &[(Column, &str)]) {
+    pub fn set_row(&mut self, sheet: Sheet, name: &str, cells: &[(Column, &str)]) {
         let cells: BTreeMap<Column, String> = cells
             .iter()
             .map(|(c, text)| (*c, (*text).to_owned()))
@@ -90,30 +90,30 @@
         self.step(Event::Table { owned: None, table });
     }
 
-    pub fn workspace(&mut self, name: &str, cells: &[(Column, &str)]) {
+    pub fn set_workspace(&mut self, name: &str, cells: &[(Column, &str)]) {
         let hash = "0".repeat(64);
         let mut all = vec![(Column::KeyHash, hash.as_str())];
         all.extend(cells);
-        self.row(Sheet::Workspaces, name, &all);
+        self.set_row(Sheet::Workspaces, name, &all);
     }
 
     pub fn step(&mut self, event: Event) -> Vec<Effect> {
         self.broker.step(Instant(self.now), event)
     }
 
-    pub fn load(&mut self, upstream: &str, incarnation: u64) -> Vec<Effect> {
-        self.sample(upstream, incarnation, "v1", 0)
+    pub fn report_load(&mut self, upstream: &str, incarnation: u64) -> Vec<Effect> {
+        self.send_load_report(upstream, incarnation, "v1", 0)
     }
 
-    pub fn serve(&mut self, upstream: &str, incarnation: u64, version: &str) {
-        self.sample(upstream, incarnation, version, 0);
+    pub fn report_version(&mut self, upstream: &str, incarnation: u64, version: &str) {
+        self.send_load_report(upstream, incarnation, version, 0);
     }
 
-    pub fn busy(&mut self, upstream: &str, running: u32) -> Vec<Effect> {
-        self.sample(upstream, 1, "v1", running)
+    pub fn report_running(&mut self, upstream: &str, running: u32) -> Vec<Effect> {
+        self.send_load_report(upstream, 1, "v1", running)
     }
 
-    fn sample(
+    fn send_load_report(
         &mut self,
         upstream: &str,
         incarnation: u64,
@@ -125,7 +125,7 @@
                 age_ms: 0,
                 queued_background_tokens: 0,
                 incarnation: Incarnation(incarnation),
-                prefill_rate: RATE,
+                prefill_rate: PREFILL_RATE,
                 running,
                 slots: SLOTS,
                 queued_urgent_tokens: 0,
@@ -135,7 +135,7 @@
         })
     }
 
-    pub fn cached(
+    pub fn report_cached(
         &mut self,
         upstream: &str,
         incarnation: u64,
@@ -153,35 +153,39 @@
         });
     }
 
-    pub fn stand(&mut self, upstream: &str, standing: Standing) {
+    pub fn set_standing(&mut self, upstream: &str, standing: Standing) {
         self.step(Event::Standing {
             standing,
             upstream: upstream.to_owned(),
         });
     }
 
-    pub fn ask(&mut self, ask: PlacementRequest) -> Vec<Effect> {
-        self.step(Event::Arrival(ask))
+    pub fn submit(&mut self, request: PlacementRequest) -> Vec<Effect> {
+        self.step(Event::Arrival(request))
     }
 
-    pub fn report(&mut self, placement_id: PlacementId, progress: Progress) -> Vec<Effect> {
+    pub fn report_progress(
+        &mut self,
+        placement_id: PlacementId,
+        progress: Progress,
+    ) -> Vec<Effect> {
         self.step(Event::Report(ProgressReport {
             progress,
             placement_id,
         }))
     }
 
-    pub fn tick(&mut self, millis: u64) -> Vec<Effect> {
+    pub fn advance(&mut self, millis: u64) -> Vec<Effect> {
         self.now += millis;
         self.step(Event::Tick)
     }
 }
 
-pub fn prompt(workspace: &str, blocks: usize) -> Vec<BlockHash> {
+pub fn prompt_blocks(workspace: &str, blocks: usize) -> Vec<BlockHash> {
     BlockHash::root(workspace, "m", "v1").chain(&vec![7; blocks], 1)
 }
 
-pub fn ask(
+pub fn request(
     serial: u128,
     rank: Rank,
     workspace: &str,
@@ -190,7 +194,7 @@
 ) -> PlacementRequest {
     PlacementRequest {
         block_tokens: 4_096,
-        blocks: prompt(workspace, blocks),
+        blocks: prompt_blocks(workspace, blocks),
         caller: caller.to_owned(),
         deadline_ms: 10_000,
         domain: "d1".to_owned(),
