--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -40,9 +40,9 @@
 use state::table::Table;
 use state::time::Instant;
 
-/// Part of the remembered demand of urgent work that is forgotten at each check for expired
-/// requests, as a divisor.
-const DEMAND_DECAY: u64 = 64;
+/// Part of the remembered demand of urgent work that is dropped at each check for expired requests
+/// while the present demand is lower, as a divisor.
+const DEMAND_DECAY_DIVISOR: u64 = 64;
 /// Time between two checks for expired requests, in milliseconds.
 const EXPIRY_INTERVAL_MS: u64 = 50;
 /// Age at which a placed request counts as ended, in case the report of its end was lost, in
@@ -499,7 +499,7 @@
         self.last_expiry = now;
         let demand = self.upstreams.urgent_in_flight() + self.admission.len(Rank::Urgent) as u64;
         self.urgent_demand =
-            demand.max(self.urgent_demand - self.urgent_demand.div_ceil(DEMAND_DECAY));
+            demand.max(self.urgent_demand - self.urgent_demand.div_ceil(DEMAND_DECAY_DIVISOR));
         for refusal in self.admission.expire(now) {
             self.queued.remove(&refusal.placement_id);
             effects.push(Effect::Refuse(refusal));
--- a/crates/coordination/src/engine_load.rs
+++ b/crates/coordination/src/engine_load.rs
@@ -122,11 +122,16 @@
     backup_limit: Option<BackupLimit>,
     loads: [RankLoad; 2],
     epoch: u64,
+    /// Requests that the last report showed beyond those that this broker sent.
     reported_excess: u32,
     failed_at: Option<Instant>,
+    /// The smaller excess of the last two reports: requests that other hosts sent.
     other_hosts_in_flight: u32,
     table_limit: Option<u32>,
+    /// Time at which the engine measured the last report.
     measured_at: Instant,
+    /// Time since which the engine computes the present prefill: the time of the last first token, or
+    /// of the first work that was sent while no prefill was pending.
     progress_at: Instant,
     report: Option<LoadReport>,
     mean_service_time_ms: Option<u64>,
--- a/crates/coordination/src/upstream_pool.rs
+++ b/crates/coordination/src/upstream_pool.rs
@@ -43,7 +43,7 @@
     Store,
 }
 
-/// The cache that holds the most leading blocks of a prompt, and how many.
+/// The cache from which the most leading blocks of a prompt can be imported, and how many.
 #[derive(Clone, Copy, Debug, Default)]
 struct ImportSource {
     blocks: u32,
@@ -70,7 +70,7 @@
 pub struct Proposal {
     /// Expected time to first token, in microseconds.
     pub expected_us: u64,
-    /// Where to import blocks from, if another cache holds more than the upstream.
+    /// Where to import blocks from, if a cache other than that of the upstream holds the most.
     pub import: Option<Import>,
     /// Rank of the request at the upstream.
     pub priority: Rank,
@@ -78,7 +78,7 @@
     pub resident_blocks: u32,
     /// Scores of the best upstreams, cheapest first.
     pub scores: Vec<Score>,
-    /// Names the upstream.
+    /// Index of the upstream in the pool and in the cache directory.
     pub index: UpstreamIndex,
     /// Prompt tokens that the upstream has to prefill.
     pub prefill_tokens: u64,
@@ -88,8 +88,8 @@
     pub work_us: u64,
 }
 
-/// The work of queued requests for which waiting for a busy upstream is cheaper than any other, by
-/// upstream.
+/// The work of queued requests that would rather wait for a full upstream than go to another one,
+/// by upstream.
 #[derive(Clone, Debug, Default)]
 pub struct QueuedWork {
     work_us: Vec<u64>,
@@ -353,7 +353,7 @@
             .any(|upstream| upstream.can_serve(request))
     }
 
-    /// Returns the slot of an upstream.
+    /// Returns the index of an upstream.
     pub fn index_of(&self, name: &str) -> Option<UpstreamIndex> {
         self.indices.get(name).copied()
     }
