--- a/crates/coordination/src/liveness.rs
+++ b/crates/coordination/src/liveness.rs
@@ -83,14 +83,17 @@
     },
 }
 
+/// Number of successive failed calls after which an upstream is down.
 const FAILURES_UNTIL_DOWN: u32 = 2;
 
 /// The result of the last calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum Health {
+    /// The last call was answered.
     Answering,
     /// The number of successive failed calls.
     Failing(u32),
+    /// No call was answered or failed yet.
     #[default]
     Unknown,
 }
@@ -98,7 +101,7 @@
 /// The source that says that an upstream is about to shut down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum LeavingSource {
-    /// The platform's list; a later list may take it back.
+    /// The platform's list; a later list may revoke it.
     Listed,
     /// The upstream itself, directly or through another host; holds until a new process answers.
     Reported,
--- a/crates/coordination/tests/drain.rs
+++ b/crates/coordination/tests/drain.rs
@@ -73,6 +73,7 @@
     assert_eq!(effects(&steps), expected);
 }
 
+// Such a request would still be running when the drain limit passes.
 #[test]
 fn a_request_that_may_be_cut_off_is_refused_once_no_host_lists_this_one() {
     let remaining_ms = CLOSE_MS + DRAIN_LIMIT_MS - PROPAGATION_MS;
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -157,6 +157,7 @@
     }
 }
 
+// Other hosts still reach the host, so only the view of the host behind the cut link changes.
 #[test]
 fn a_cut_link_makes_a_host_unreachable_until_it_is_restored() {
     for seed in SEEDS {
@@ -232,6 +233,7 @@
     }
 }
 
+// The first three hosts are the seeds of all, so only calls of dead hosts can reconnect the sides.
 #[test]
 fn the_sides_of_a_partition_merge_again_without_any_seed() {
     for seed in SEEDS {
@@ -274,6 +276,7 @@
     }
 }
 
+// No new process knows another host, so all have to find each other through the seeds.
 #[test]
 fn hosts_that_all_restart_at_once_form_one_fleet() {
     for seed in SEEDS {
@@ -293,6 +296,7 @@
     }
 }
 
+// One seed refuses connections, and another one never answers.
 #[test]
 fn a_host_joins_while_two_of_three_seeds_are_gone() {
     for seed in SEEDS {
@@ -307,6 +311,7 @@
     }
 }
 
+// The restart is still being spread when the second host dies.
 #[test]
 fn the_loss_of_a_host_right_after_the_restart_of_another_is_detected() {
     for seed in SEEDS {
@@ -351,6 +356,7 @@
     }
 }
 
+// Two hosts that are configured with the same name supersede each other's records.
 #[test]
 fn a_second_host_with_the_same_name_is_reported() {
     let mut fleet = joined(HOSTS, 1);
@@ -414,6 +420,7 @@
     assert!(suspected.is_some() && dead.is_some());
 }
 
+// Every message carries up to 12 records.
 #[test]
 fn a_record_takes_at_most_64_bytes() {
     let fleet = Fleet::start(1, 1);
--- a/crates/coordination/tests/reload.rs
+++ b/crates/coordination/tests/reload.rs
@@ -18,7 +18,7 @@
 
 /// Drives a rolling reload against engines that load for as long as the policy expects.
 struct Simulation {
-    at: u64,
+    now_ms: u64,
     unresponsive: Vec<String>,
     engines: BTreeMap<String, Engine>,
     effect_log: Vec<(u64, Effect)>,
@@ -29,7 +29,7 @@
 #[derive(Default)]
 struct Engine {
     /// End of the load under way, and the version being loaded.
-    loads: Option<(u64, u64)>,
+    loading: Option<(u64, u64)>,
     orders: u64,
     version: u64,
 }
@@ -48,7 +48,7 @@
             })
             .collect();
         let mut simulation = Self {
-            at: 0,
+            now_ms: 0,
             unresponsive: Vec::new(),
             engines,
             effect_log: Vec::new(),
@@ -86,15 +86,15 @@
 
     /// Advances the time in steps of a tenth of a second.
     fn advance(mut self, millis: u64) -> Self {
-        let until = self.at + millis;
-        while self.at < until {
-            self.at += 100;
+        let until = self.now_ms + millis;
+        while self.now_ms < until {
+            self.now_ms += 100;
             for engine in self.engines.values_mut() {
-                if let Some((due, version)) = engine.loads
-                    && self.at >= due
+                if let Some((due, version)) = engine.loading
+                    && self.now_ms >= due
                 {
                     engine.version = version;
-                    engine.loads = None;
+                    engine.loading = None;
                 }
             }
             self.step(Event::Loads(self.running.clone()));
@@ -111,9 +111,9 @@
     }
 
     fn step(&mut self, event: Event) {
-        let mut effects = self.reload.step(Instant(self.at), event);
+        let mut effects = self.reload.step(Instant(self.now_ms), event);
         while let Some(effect) = effects.pop() {
-            self.effect_log.push((self.at, effect.clone()));
+            self.effect_log.push((self.now_ms, effect.clone()));
             let next = match effect {
                 Effect::Done { .. } => continue,
                 Effect::Order(order) => {
@@ -125,18 +125,18 @@
                     Event::Reported(id, report)
                 }
             };
-            effects.extend(self.reload.step(Instant(self.at), next));
+            effects.extend(self.reload.step(Instant(self.now_ms), next));
         }
     }
 
     fn order(&mut self, id: &str, orders: u64, version: u64) -> Outcome {
-        let at = self.at;
+        let at = self.now_ms;
         let engine = self.engines.get_mut(id).unwrap();
-        if engine.loads.is_some() || engine.orders != orders {
+        if engine.loading.is_some() || engine.orders != orders {
             return Outcome::Refused;
         }
         engine.orders += 1;
-        engine.loads = Some((at + 1_900, version));
+        engine.loading = Some((at + 1_900, version));
         Outcome::Accepted
     }
 
@@ -147,7 +147,7 @@
             .iter()
             .any(|unresponsive| unresponsive == id))
         .then(|| Report {
-            loading: engine.loads.is_some(),
+            loading: engine.loading.is_some(),
             accepted_orders: engine.orders,
             running: 0,
             weights: BTreeMap::from([(MODEL.to_owned(), engine.version)]),
@@ -168,9 +168,10 @@
     fn max_concurrent_loads(&self) -> usize {
         let mut max = 0;
         for (at, _, _) in self.orders() {
-            let near = self.orders().into_iter();
-            let near = near.filter(|(other, _, _)| *other <= at && at < *other + 1_900);
-            max = max.max(near.count());
+            let overlapping = self.orders().into_iter();
+            let overlapping =
+                overlapping.filter(|(other, _, _)| *other <= at && at < *other + 1_900);
+            max = max.max(overlapping.count());
         }
         max
     }
@@ -180,6 +181,7 @@
     }
 }
 
+// A fifth of 18 engines is 3.
 #[test]
 fn all_engines_get_the_newest_weights_a_fifth_at_once() {
     let simulation = Simulation::new(18)
@@ -194,8 +196,11 @@
 #[test]
 fn a_new_leader_sends_no_order_while_one_of_the_previous_leader_may_arrive() {
     let simulation = Simulation::new(4).publish_version(2).advance(10_000);
-    let first = simulation.orders()[0].0;
-    assert!(first >= Policy::default().takeover_delay_ms, "{first}");
+    let first_order_at = simulation.orders()[0].0;
+    assert!(
+        first_order_at >= Policy::default().takeover_delay_ms,
+        "{first_order_at}"
+    );
 }
 
 #[test]
@@ -229,6 +234,7 @@
     assert_eq!(ids[..4], ["e01", "e00", "e03", "e02"], "{orders:?}");
 }
 
+// Four engines do not answer, more than may load at once.
 #[test]
 fn engines_that_do_not_answer_do_not_delay_the_others() {
     let simulation = Simulation::new(10)
@@ -242,6 +248,7 @@
     assert_eq!(simulation.versions()[4..], [2; 6]);
 }
 
+// An engine that always has requests in flight must not keep its old weights for ever.
 #[test]
 fn an_engine_gets_its_order_once_its_requests_ended_or_after_a_wait() {
     let simulation = Simulation::new(4)
