--- a/crates/coordination/src/state_machine.rs
+++ b/crates/coordination/src/state_machine.rs
@@ -96,7 +96,7 @@
 /// The replicated state; every voter applies the same commands to it in the same order.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StateMachine {
-    clock: u64,
+    log_time_ms: u64,
     history: History,
     leases: Leases,
     ledger: Ledger,
@@ -115,8 +115,8 @@
 
     /// Applies one command that the leader stamped with `log_time_ms`.
     pub fn apply(&mut self, log_time_ms: u64, command: &Command) -> Answer {
-        self.clock = self.clock.max(log_time_ms);
-        let now = self.clock;
+        self.log_time_ms = self.log_time_ms.max(log_time_ms);
+        let now = self.log_time_ms;
         match command {
             Command::Begin(intent) => Answer::Begin(self.ledger.begin(now, intent)),
             Command::Edit(edit) => {
@@ -139,8 +139,8 @@
     }
 
     /// Returns the log time of the newest command, in milliseconds.
-    pub fn clock(&self) -> u64 {
-        self.clock
+    pub fn log_time_ms(&self) -> u64 {
+        self.log_time_ms
     }
 
     /// Returns the recorded edits of the table.
--- a/crates/coordination/tests/machine.rs
+++ b/crates/coordination/tests/machine.rs
@@ -108,5 +108,5 @@
     let waits = state_machine::Answer::Begin(Decision::Running(Attempt(1)));
     assert_eq!(restored.apply(4, &begin(2)), waits);
     assert_eq!(restored.apply(1, &begin(2)), waits);
-    assert_eq!(restored.clock(), 4);
+    assert_eq!(restored.log_time_ms(), 4);
 }
