--- a/crates/state/src/arena.rs
+++ b/crates/state/src/arena.rs
@@ -1,11 +1,11 @@
-//! An arena whose values are named by small `Copy` keys that go stale when their value is removed.
+//! A generational arena: its values have small `Copy` keys that become invalid on removal.
 
 use std::fmt;
 use std::hash::Hash;
 use std::hash::Hasher;
 use std::marker::PhantomData;
 
-/// Names a value of an [`Arena`].
+/// Key of a value in an [`Arena`].
 pub struct Key<T> {
     index: u32,
     generation: u32,
@@ -42,7 +42,7 @@
 }
 
 impl<T> Key<T> {
-    /// Returns the position of the value, which is reused after a removal.
+    /// Returns the index of the value, which is reused after a removal.
     pub fn index(self) -> u32 {
         self.index
     }
@@ -54,7 +54,7 @@
     value: Option<T>,
 }
 
-/// Stores values in one vector and reuses the places of removed ones.
+/// Stores values in one vector and reuses the slots of removed ones.
 #[derive(Clone, Debug)]
 pub struct Arena<T> {
     free: Vec<u32>,
@@ -79,7 +79,7 @@
             .flatten()
     }
 
-    /// Returns the value under `key` for change, unless it was removed.
+    /// Returns the value under `key` mutably, unless it was removed.
     pub fn get_mut(&mut self, key: Key<T>) -> Option<&mut T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         (slot.generation == key.generation)
@@ -106,7 +106,7 @@
         Self::key(index, 0)
     }
 
-    /// Iterates over the keys and values in order of place.
+    /// Iterates over the keys and values in order of index.
     pub fn iter(&self) -> impl Iterator<Item = (Key<T>, &T)> {
         self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let value = slot.value.as_ref()?;
@@ -124,7 +124,7 @@
         self.len() == 0
     }
 
-    /// Removes and returns the value under `key`; the key stays stale for good.
+    /// Removes and returns the value under `key`, which stays invalid from then on.
     pub fn remove(&mut self, key: Key<T>) -> Option<T> {
         let slot = self.slots.get_mut(key.index as usize)?;
         if slot.generation != key.generation {
--- a/crates/state/src/block_index.rs
+++ b/crates/state/src/block_index.rs
@@ -1,33 +1,36 @@
-//! A compact index from blocks to the lanes that hold them.
+//! A compact index from blocks to their holders.
 //!
-//! Each entry takes one 64-bit word: 52 bits of the block's key and 12 bits of lane. The words
-//! stand in many small open-addressed segments that grow one at a time, so no insertion ever
-//! pauses for the whole index.
+//! Each entry takes one 64-bit word: 52 bits of the block's hash and a holder id of 12 bits. The
+//! words are stored in many small open-addressed hash tables, the segments, which grow one at a
+//! time, so no insertion has to wait while the whole index is rebuilt.
 
 use crate::ident::BlockHash;
 
-/// Bounds the lanes of an index; lane 0 is never used.
+/// Number of holder ids of an index. Id 0 is never used, because a word of 0 is an empty slot.
 pub const MAX_HOLDER_IDS: usize = 1 << HOLDER_ID_BITS;
 
 const FINGERPRINT_BITS: u32 = 52;
-const FULL_NUMERATOR: usize = 17;
-const FULL_DENOMINATOR: usize = 20;
+/// A segment grows when more than 17 of 20 slots are full.
+const MAX_LOAD_NUMERATOR: usize = 17;
+const MAX_LOAD_DENOMINATOR: usize = 20;
 const HOLDER_ID_BITS: u32 = 12;
 const HOLDER_ID_MASK: u64 = (1 << HOLDER_ID_BITS) - 1;
 const SEGMENT_BITS: u32 = 12;
-const SMALLEST_SEGMENT: usize = 8;
+const MIN_SEGMENT_SLOTS: usize = 8;
 
-/// Names a set of entries that are dropped together; a `Copy` key below [`LANES`].
+/// Identifies a holder of blocks, whose entries are dropped together; less than
+/// [`MAX_HOLDER_IDS`].
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct HolderId(pub u16);
 
+/// Hash table with open addressing and linear probing.
 #[derive(Clone, Debug, Default)]
 struct Segment {
     len: usize,
     slots: Vec<u64>,
 }
 
-/// Maps blocks to lanes, several to one block.
+/// Maps each block to any number of holders.
 #[derive(Clone, Debug)]
 pub struct BlockIndex {
     len: usize,
@@ -52,8 +55,8 @@
 
     /// Adds an entry and returns whether it is new.
     pub fn insert(&mut self, block: BlockHash, holder: HolderId) -> bool {
-        let (segment, fingerprint) = split(block);
-        let added = self.segments[segment].insert(word(fingerprint, holder));
+        let (segment, fingerprint) = locate(block);
+        let added = self.segments[segment].insert(encode(fingerprint, holder));
         self.len += usize::from(added);
         added
     }
@@ -63,20 +66,20 @@
         self.len == 0
     }
 
-    /// Calls `visit` with each lane that holds `block`.
+    /// Calls `visit` with each holder of `block`.
     pub fn holders(&self, block: BlockHash, mut visit: impl FnMut(HolderId)) {
-        let (segment, fingerprint) = split(block);
+        let (segment, fingerprint) = locate(block);
         let segment = &self.segments[segment];
         if segment.slots.is_empty() {
             return;
         }
-        let mut at = segment.home(fingerprint);
-        while segment.slots[at] != 0 {
-            let entry = segment.slots[at];
+        let mut slot = segment.home_slot(fingerprint);
+        while segment.slots[slot] != 0 {
+            let entry = segment.slots[slot];
             if entry >> HOLDER_ID_BITS == fingerprint {
-                visit(holder(entry));
+                visit(holder_of(entry));
             }
-            at = segment.after(at);
+            slot = segment.next_slot(slot);
         }
     }
 
@@ -87,8 +90,8 @@
 
     /// Removes an entry and returns whether it was there.
     pub fn remove(&mut self, block: BlockHash, holder: HolderId) -> bool {
-        let (segment, fingerprint) = split(block);
-        let removed = self.segments[segment].remove(word(fingerprint, holder));
+        let (segment, fingerprint) = locate(block);
+        let removed = self.segments[segment].remove(encode(fingerprint, holder));
         self.len -= usize::from(removed);
         removed
     }
@@ -98,10 +101,10 @@
         self.segments.len()
     }
 
-    /// Removes the entries of one segment whose lane `keep` refuses.
+    /// Removes the entries of one segment for whose holder `keep` returns false.
     pub fn sweep(&mut self, segment: usize, keep: impl Fn(HolderId) -> bool) {
         let segment = &mut self.segments[segment];
-        let stale = |slots: &[u64]| slots.iter().any(|e| *e != 0 && !keep(holder(*e)));
+        let stale = |slots: &[u64]| slots.iter().any(|e| *e != 0 && !keep(holder_of(*e)));
         if !stale(&segment.slots) {
             return;
         }
@@ -109,58 +112,58 @@
         let kept: Vec<u64> = segment
             .slots
             .drain(..)
-            .filter(|entry| *entry != 0 && keep(holder(*entry)))
+            .filter(|entry| *entry != 0 && keep(holder_of(*entry)))
             .collect();
-        segment.refill(kept);
+        segment.rebuild(kept);
         self.len -= before - segment.len;
     }
 }
 
 impl Segment {
-    fn after(&self, at: usize) -> usize {
-        if at + 1 == self.slots.len() {
+    fn next_slot(&self, slot: usize) -> usize {
+        if slot + 1 == self.slots.len() {
             0
         } else {
-            at + 1
+            slot + 1
         }
     }
 
     fn grow(&mut self) {
         let entries: Vec<u64> = self.slots.drain(..).filter(|e| *e != 0).collect();
-        self.refill(entries);
+        self.rebuild(entries);
     }
 
-    fn home(&self, fingerprint: u64) -> usize {
+    fn home_slot(&self, fingerprint: u64) -> usize {
         let scaled = u128::from(fingerprint) * self.slots.len() as u128;
         (scaled >> FINGERPRINT_BITS) as usize
     }
 
     fn insert(&mut self, entry: u64) -> bool {
-        if (self.len + 1) * FULL_DENOMINATOR > self.slots.len() * FULL_NUMERATOR {
+        if (self.len + 1) * MAX_LOAD_DENOMINATOR > self.slots.len() * MAX_LOAD_NUMERATOR {
             self.grow();
         }
-        let mut at = self.home(entry >> HOLDER_ID_BITS);
-        while self.slots[at] != 0 {
-            if self.slots[at] == entry {
+        let mut slot = self.home_slot(entry >> HOLDER_ID_BITS);
+        while self.slots[slot] != 0 {
+            if self.slots[slot] == entry {
                 return false;
             }
-            at = self.after(at);
+            slot = self.next_slot(slot);
         }
-        self.slots[at] = entry;
+        self.slots[slot] = entry;
         self.len += 1;
         true
     }
 
-    fn refill(&mut self, entries: Vec<u64>) {
-        let len = (entries.len() * 3 / 2).max(SMALLEST_SEGMENT);
+    fn rebuild(&mut self, entries: Vec<u64>) {
+        let len = (entries.len() * 3 / 2).max(MIN_SEGMENT_SLOTS);
         self.len = 0;
         self.slots = vec![0; len];
         for entry in entries {
-            let mut at = self.home(entry >> HOLDER_ID_BITS);
-            while self.slots[at] != 0 {
-                at = self.after(at);
+            let mut slot = self.home_slot(entry >> HOLDER_ID_BITS);
+            while self.slots[slot] != 0 {
+                slot = self.next_slot(slot);
             }
-            self.slots[at] = entry;
+            self.slots[slot] = entry;
             self.len += 1;
         }
     }
@@ -169,48 +172,49 @@
         if self.slots.is_empty() {
             return false;
         }
-        let mut at = self.home(entry >> HOLDER_ID_BITS);
-        while self.slots[at] != entry {
-            if self.slots[at] == 0 {
+        let mut slot = self.home_slot(entry >> HOLDER_ID_BITS);
+        while self.slots[slot] != entry {
+            if self.slots[slot] == 0 {
                 return false;
             }
-            at = self.after(at);
+            slot = self.next_slot(slot);
         }
-        self.close(at);
+        self.close_hole(slot);
         self.len -= 1;
         true
     }
 
-    /// Empties the slot `hole` and moves later entries up, so that no search ends too early.
-    fn close(&mut self, mut hole: usize) {
-        let mut at = self.after(hole);
-        while self.slots[at] != 0 {
-            let home = self.home(self.slots[at] >> HOLDER_ID_BITS);
-            let between = if hole < at {
-                hole < home && home <= at
+    /// Empties the slot `hole` and moves later entries up, so that no probe ends too early.
+    fn close_hole(&mut self, mut hole: usize) {
+        let mut slot = self.next_slot(hole);
+        while self.slots[slot] != 0 {
+            let home = self.home_slot(self.slots[slot] >> HOLDER_ID_BITS);
+            let between = if hole < slot {
+                hole < home && home <= slot
             } else {
-                hole < home || home <= at
+                hole < home || home <= slot
             };
             if !between {
-                self.slots[hole] = self.slots[at];
-                hole = at;
+                self.slots[hole] = self.slots[slot];
+                hole = slot;
             }
-            at = self.after(at);
+            slot = self.next_slot(slot);
         }
         self.slots[hole] = 0;
     }
 }
 
-fn holder(entry: u64) -> HolderId {
+fn holder_of(entry: u64) -> HolderId {
     HolderId((entry & HOLDER_ID_MASK) as u16)
 }
 
-fn split(block: BlockHash) -> (usize, u64) {
+/// Returns the segment of a block and the fingerprint under which it is stored there.
+fn locate(block: BlockHash) -> (usize, u64) {
     let segment = (block.0 >> (128 - SEGMENT_BITS)) as usize;
     let fingerprint = (block.0 as u64) >> (u64::BITS - FINGERPRINT_BITS);
     (segment, fingerprint)
 }
 
-fn word(fingerprint: u64, holder: HolderId) -> u64 {
+fn encode(fingerprint: u64, holder: HolderId) -> u64 {
     fingerprint << HOLDER_ID_BITS | u64::from(holder.0)
 }
--- a/crates/state/src/cache_directory.rs
+++ b/crates/state/src/cache_directory.rs
@@ -1,6 +1,6 @@
 //! The directory of which upstream holds which cached blocks.
 //!
-//! What it says is a hint: it follows event streams that are late and have gaps. It never reports
+//! Its answers are hints: it follows event streams that are late and have gaps. It never reports
 //! blocks of an earlier incarnation or weights version of an upstream.
 
 use std::collections::HashMap;
@@ -16,101 +16,112 @@
 use crate::ident::Incarnation;
 use crate::time::Instant;
 
-const BUFFERED_CHANGES: usize = 65_536;
-const DOUBT_LIMIT_MS: u64 = 3_000;
-const EXPECTED_BLOCKS: usize = 262_144;
+/// Most changes that are kept per upstream for replay over a snapshot; beyond them, the oldest
+/// batches are dropped.
+const MAX_BUFFERED_CHANGES: usize = 65_536;
+/// Time after which the entries of an upstream are dropped if no snapshot has closed its gap.
+const GAP_TIMEOUT_MS: u64 = 3_000;
+/// Most blocks that are expected over all upstreams; beyond them, the oldest are forgotten.
+const MAX_EXPECTED_BLOCKS: usize = 262_144;
+/// Time for which a block is expected after its request was sent.
 const EXPECTED_LIFETIME_MS: u64 = 4_000;
-const SWEEP_SEGMENTS: usize = 64;
+/// Segments of the index that one tick sweeps.
+const SEGMENTS_PER_TICK: usize = 64;
 
-/// Describes one change of an upstream's cache.
+/// A change of an upstream's cache.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Change {
-    /// Reports that the whole cache was emptied.
+    /// The whole cache was emptied.
     Cleared,
-    /// Reports a block that left the cache.
+    /// A block left the cache.
     Removed(BlockHash),
-    /// Reports a block that entered the cache.
+    /// A block entered the cache.
     Stored(BlockHash),
 }
 
-/// Carries changes in the order in which they happened.
+/// Changes of an upstream's cache, in the order in which they happened.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Batch {
-    /// Lists the changes.
+    /// The changes.
     pub changes: Vec<Change>,
-    /// Identifies the run of the upstream that they belong to; later runs have greater ones.
+    /// The run of the upstream that they belong to; later runs have greater incarnations.
     pub incarnation: Incarnation,
-    /// Numbers the first change within its incarnation, from 0.
+    /// Sequence number of the first change within its incarnation, from 0.
     pub sequence: u64,
-    /// Names the weights version that the blocks were computed with.
+    /// Weights version that the blocks were computed with.
     pub version: String,
 }
 
-/// Carries the whole content of an upstream's cache.
+/// The whole content of an upstream's cache.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// Lists the blocks.
+    /// The cached blocks.
     pub blocks: Vec<BlockHash>,
-    /// Identifies the run of the upstream.
+    /// The run of the upstream.
     pub incarnation: Incarnation,
-    /// Numbers the first change that the snapshot does not include.
+    /// Sequence number of the first change that the snapshot does not include.
     pub sequence: u64,
-    /// Names the weights version that the blocks were computed with.
+    /// Weights version that the blocks were computed with.
     pub version: String,
 }
 
-/// Names an upstream in a directory; a `Copy` key.
+/// Identifies an upstream in a directory, as the index into its vectors.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct UpstreamIndex(pub u16);
 
-/// Tells what became of a batch or snapshot.
+/// Result of applying a batch or snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Means that all of it was applied.
+    /// All of it was applied.
     Applied,
-    /// Means that changes before it are missing: a snapshot is needed.
+    /// Changes before it are missing: a snapshot is needed.
     Gap,
-    /// Means that it belongs to an earlier incarnation or was applied before.
+    /// It belongs to an earlier incarnation or was applied before.
     Outdated,
-    /// Means that it opened a new incarnation or version, and that earlier blocks were dropped.
+    /// It started a new incarnation or version, and all earlier blocks were dropped.
     Reset,
 }
 
-/// Tells how many leading blocks of a prompt each upstream holds.
+/// Number of leading blocks of a prompt that each upstream holds, by upstream index.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CachedPrefixes {
-    held: Vec<u32>,
-    soon: Vec<u32>,
+    cached: Vec<u32>,
+    cached_or_expected: Vec<u32>,
 }
 
+/// State of the event stream of one upstream.
 #[derive(Clone, Debug)]
-struct Feed {
+struct EventFeed {
     buffer: VecDeque<Batch>,
-    buffered: usize,
-    doubt: Option<Instant>,
+    buffered_changes: usize,
+    gap_since: Option<Instant>,
     incarnation: Incarnation,
-    lane: Option<HolderId>,
-    next: u64,
+    holder_id: Option<HolderId>,
+    next_sequence: u64,
     version: String,
 }
 
+/// Use of a holder id of the index.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Use {
+enum HolderIdState {
     Free,
     Live(UpstreamIndex),
-    Stale { since: u64 },
+    /// Freed once a whole sweep has passed that began after this many sweeps were complete.
+    Stale {
+        since: u64,
+    },
 }
 
-/// Holds the blocks that each upstream holds.
+/// Tracks which blocks each upstream holds, and which it will hold soon.
 #[derive(Clone, Debug)]
 pub struct CacheDirectory {
     expected: HashMap<BlockHash, Vec<(UpstreamIndex, Instant)>>,
     expiries: VecDeque<(Instant, BlockHash, UpstreamIndex)>,
-    feeds: Vec<Option<Feed>>,
+    feeds: Vec<Option<EventFeed>>,
     index: BlockIndex,
-    lanes: Vec<Use>,
-    sweep: usize,
-    swept: u64,
+    holder_ids: Vec<HolderIdState>,
+    next_segment: usize,
+    completed_sweeps: u64,
 }
 
 impl Default for CacheDirectory {
@@ -120,36 +131,36 @@
             expiries: VecDeque::new(),
             feeds: Vec::new(),
             index: BlockIndex::default(),
-            lanes: vec![Use::Free; MAX_HOLDER_IDS],
-            sweep: 0,
-            swept: 0,
+            holder_ids: vec![HolderIdState::Free; MAX_HOLDER_IDS],
+            next_segment: 0,
+            completed_sweeps: 0,
         }
     }
 }
 
 impl CacheDirectory {
-    /// Applies `batch` of the upstream at `slot`.
-    pub fn apply_batch(&mut self, slot: UpstreamIndex, batch: Batch, now: Instant) -> Outcome {
-        let renewed = match self.open(slot, batch.incarnation, &batch.version) {
-            Some(renewed) => renewed,
+    /// Applies a batch of changes of the upstream's cache.
+    pub fn apply_batch(&mut self, upstream: UpstreamIndex, batch: Batch, now: Instant) -> Outcome {
+        let reset = match self.open_feed(upstream, batch.incarnation, &batch.version) {
+            Some(reset) => reset,
             None => return Outcome::Outdated,
         };
-        let feed = self.feed(slot);
+        let feed = self.feed_mut(upstream);
         let end = batch.sequence + batch.changes.len() as u64;
-        if end <= feed.next && !batch.changes.is_empty() {
+        if end <= feed.next_sequence && !batch.changes.is_empty() {
             return Outcome::Outdated;
         }
-        let gap = batch.sequence > feed.next;
-        let skip = feed.next.saturating_sub(batch.sequence) as usize;
-        feed.next = end.max(feed.next);
-        if gap && feed.doubt.is_none() {
-            feed.doubt = Some(now);
+        let gap = batch.sequence > feed.next_sequence;
+        let skip = feed.next_sequence.saturating_sub(batch.sequence) as usize;
+        feed.next_sequence = end.max(feed.next_sequence);
+        if gap && feed.gap_since.is_none() {
+            feed.gap_since = Some(now);
         }
-        feed.remember(&batch);
+        feed.buffer_for_replay(&batch);
         for change in batch.changes.iter().skip(skip) {
-            self.change(slot, *change);
+            self.apply_change(upstream, *change);
         }
-        match (gap, renewed) {
+        match (gap, reset) {
             (true, _) => Outcome::Gap,
             (false, true) => Outcome::Reset,
             (false, false) => Outcome::Applied,
@@ -161,33 +172,34 @@
         self.index.bytes()
     }
 
-    /// Returns whether changes of the upstream were lost since its last snapshot.
-    pub fn has_gap(&self, slot: UpstreamIndex) -> bool {
-        self.peek(slot).is_some_and(|feed| feed.doubt.is_some())
+    /// Returns whether changes of the upstream's cache were lost since its last snapshot.
+    pub fn has_gap(&self, upstream: UpstreamIndex) -> bool {
+        self.feed(upstream)
+            .is_some_and(|feed| feed.gap_since.is_some())
     }
 
-    /// Counts on `blocks` entering the cache of the upstream soon, because a request that computes
+    /// Expects `blocks` to enter the cache of the upstream soon, because a request that computes
     /// them was sent there.
-    pub fn add_expected(&mut self, slot: UpstreamIndex, blocks: &[BlockHash], now: Instant) {
-        self.admit(slot);
+    pub fn add_expected(&mut self, upstream: UpstreamIndex, blocks: &[BlockHash], now: Instant) {
+        self.ensure_feed_entry(upstream);
         let expires = now + EXPECTED_LIFETIME_MS;
         for block in blocks {
-            while self.expiries.len() >= EXPECTED_BLOCKS {
-                self.forget();
+            while self.expiries.len() >= MAX_EXPECTED_BLOCKS {
+                self.pop_expiry();
             }
-            let slots = self.expected.entry(*block).or_default();
-            slots.retain(|(held, _)| *held != slot);
-            slots.push((slot, expires));
-            self.expiries.push_back((expires, *block, slot));
+            let upstreams = self.expected.entry(*block).or_default();
+            upstreams.retain(|(held, _)| *held != upstream);
+            upstreams.push((upstream, expires));
+            self.expiries.push_back((expires, *block, upstream));
         }
     }
 
-    /// Returns the incarnation of the upstream, once it was heard of.
-    pub fn incarnation(&self, slot: UpstreamIndex) -> Option<Incarnation> {
-        self.peek(slot).map(|feed| feed.incarnation)
+    /// Returns the incarnation of the upstream, once a batch or snapshot of it was applied.
+    pub fn incarnation(&self, upstream: UpstreamIndex) -> Option<Incarnation> {
+        self.feed(upstream).map(|feed| feed.incarnation)
     }
 
-    /// Returns whether no block is held anywhere.
+    /// Returns whether no upstream holds a block.
     pub fn is_empty(&self) -> bool {
         self.index.is_empty()
     }
@@ -197,24 +209,24 @@
         self.index.len()
     }
 
-    /// Replaces all that is known of the upstream's cache, then replays the changes that the
-    /// snapshot does not include.
+    /// Replaces the entries of the upstream by `snapshot`, then replays the buffered changes that
+    /// the snapshot does not include.
     pub fn apply_snapshot(
         &mut self,
-        slot: UpstreamIndex,
+        upstream: UpstreamIndex,
         snapshot: &Snapshot,
         now: Instant,
     ) -> Outcome {
         if self
-            .open(slot, snapshot.incarnation, &snapshot.version)
+            .open_feed(upstream, snapshot.incarnation, &snapshot.version)
             .is_none()
         {
             return Outcome::Outdated;
         }
-        self.renew(slot);
-        let buffer = self.feed(slot).settle();
+        self.discard_entries(upstream);
+        let buffer = self.feed_mut(upstream).close_gap();
         for block in &snapshot.blocks {
-            self.change(slot, Change::Stored(*block));
+            self.apply_change(upstream, Change::Stored(*block));
         }
         let mut reached = snapshot.sequence;
         let mut gap = false;
@@ -223,146 +235,153 @@
             let skip = reached.saturating_sub(batch.sequence) as usize;
             reached = reached.max(batch.sequence + batch.changes.len() as u64);
             for change in batch.changes.iter().skip(skip) {
-                self.change(slot, *change);
+                self.apply_change(upstream, *change);
             }
         }
-        let feed = self.feed(slot);
-        gap |= reached < feed.next;
-        feed.next = feed.next.max(reached);
-        feed.doubt = gap.then_some(now);
+        let feed = self.feed_mut(upstream);
+        gap |= reached < feed.next_sequence;
+        feed.next_sequence = feed.next_sequence.max(reached);
+        feed.gap_since = gap.then_some(now);
         if gap { Outcome::Gap } else { Outcome::Applied }
     }
 
-    /// Finds how many leading blocks of `blocks` each upstream holds.
+    /// Returns how many leading blocks of `blocks` each upstream holds.
     pub fn cached_prefixes(&self, blocks: &[BlockHash], now: Instant) -> CachedPrefixes {
-        let mut residency = CachedPrefixes {
-            held: vec![0; self.feeds.len()],
-            soon: vec![0; self.feeds.len()],
+        let mut prefixes = CachedPrefixes {
+            cached: vec![0; self.feeds.len()],
+            cached_or_expected: vec![0; self.feeds.len()],
         };
         for (at, block) in blocks.iter().enumerate() {
             let at = at as u32;
             let mut advanced = false;
-            self.index.holders(*block, |lane| {
-                if let Use::Live(slot) = self.lanes[usize::from(lane.0)] {
-                    advance(&mut residency.held, slot, at);
-                    advanced |= advance(&mut residency.soon, slot, at);
+            self.index.holders(*block, |holder_id| {
+                if let HolderIdState::Live(upstream) = self.holder_ids[usize::from(holder_id.0)] {
+                    extend_prefix(&mut prefixes.cached, upstream, at);
+                    advanced |= extend_prefix(&mut prefixes.cached_or_expected, upstream, at);
                 }
             });
-            for (slot, expires) in self.expected.get(block).into_iter().flatten() {
+            for (upstream, expires) in self.expected.get(block).into_iter().flatten() {
                 if *expires > now {
-                    advanced |= advance(&mut residency.soon, *slot, at);
+                    advanced |= extend_prefix(&mut prefixes.cached_or_expected, *upstream, at);
                 }
             }
             if !advanced {
                 break;
             }
         }
-        residency
+        prefixes
     }
 
-    /// Forgets what expired, drops doubtful caches that no snapshot settled in time, and sweeps a
-    /// part of the index. Returns the upstreams that still need a snapshot.
+    /// Forgets expected blocks that expired, drops the entries of upstreams whose gap no snapshot
+    /// has closed in time, and sweeps a part of the index. Returns the upstreams that have a gap
+    /// and so need a snapshot.
     pub fn tick(&mut self, now: Instant) -> Vec<UpstreamIndex> {
         while self.expiries.front().is_some_and(|(at, _, _)| *at <= now) {
-            self.forget();
+            self.pop_expiry();
         }
-        self.sweep();
-        let doubtful: Vec<(UpstreamIndex, Instant)> = self
+        self.sweep_segments();
+        let gaps: Vec<(UpstreamIndex, Instant)> = self
             .feeds
             .iter()
             .enumerate()
-            .filter_map(|(at, feed)| Some((UpstreamIndex(at as u16), feed.as_ref()?.doubt?)))
+            .filter_map(|(at, feed)| Some((UpstreamIndex(at as u16), feed.as_ref()?.gap_since?)))
             .collect();
-        for (slot, since) in &doubtful {
-            if now.since(*since) >= DOUBT_LIMIT_MS {
-                self.renew(*slot);
-                self.feed(*slot).settle();
+        for (upstream, since) in &gaps {
+            if now.since(*since) >= GAP_TIMEOUT_MS {
+                self.discard_entries(*upstream);
+                self.feed_mut(*upstream).close_gap();
             }
         }
-        doubtful.into_iter().map(|(slot, _)| slot).collect()
+        gaps.into_iter().map(|(upstream, _)| upstream).collect()
     }
 
-    /// No longer counts on `blocks` entering the cache of the upstream.
-    pub fn remove_expected(&mut self, slot: UpstreamIndex, blocks: &[BlockHash]) {
+    /// No longer expects `blocks` to enter the cache of the upstream.
+    pub fn remove_expected(&mut self, upstream: UpstreamIndex, blocks: &[BlockHash]) {
         for block in blocks {
-            if let Some(slots) = self.expected.get_mut(block) {
-                slots.retain(|(held, _)| *held != slot);
+            if let Some(upstreams) = self.expected.get_mut(block) {
+                upstreams.retain(|(held, _)| *held != upstream);
             }
         }
     }
 
-    /// Returns the weights version of the upstream, once it was heard of.
-    pub fn version(&self, slot: UpstreamIndex) -> Option<&str> {
-        self.peek(slot).map(|feed| feed.version.as_str())
+    /// Returns the weights version of the upstream, once a batch or snapshot of it was applied.
+    pub fn version(&self, upstream: UpstreamIndex) -> Option<&str> {
+        self.feed(upstream).map(|feed| feed.version.as_str())
     }
 
-    /// Drops all that is known of the upstream's cache, because the upstream is gone or doubted.
-    pub fn invalidate(&mut self, slot: UpstreamIndex) {
-        self.renew(slot);
+    /// Drops all entries of the upstream, because it is gone or its cache is uncertain.
+    pub fn invalidate(&mut self, upstream: UpstreamIndex) {
+        self.discard_entries(upstream);
     }
 
-    fn admit(&mut self, slot: UpstreamIndex) {
-        let len = usize::from(slot.0) + 1;
+    fn ensure_feed_entry(&mut self, upstream: UpstreamIndex) {
+        let len = usize::from(upstream.0) + 1;
         if self.feeds.len() < len {
             self.feeds.resize(len, None);
         }
     }
 
-    fn change(&mut self, slot: UpstreamIndex, change: Change) {
+    fn apply_change(&mut self, upstream: UpstreamIndex, change: Change) {
         match change {
-            Change::Cleared => self.renew(slot),
+            Change::Cleared => self.discard_entries(upstream),
             Change::Removed(block) => {
-                if let Some(lane) = self.feed(slot).lane {
-                    self.index.remove(block, lane);
+                if let Some(holder_id) = self.feed_mut(upstream).holder_id {
+                    self.index.remove(block, holder_id);
                 }
-                self.remove_expected(slot, &[block]);
+                self.remove_expected(upstream, &[block]);
             }
             Change::Stored(block) => {
-                if let Some(lane) = self.feed(slot).lane.or_else(|| self.lease(slot)) {
-                    self.index.insert(block, lane);
+                if let Some(holder_id) = self
+                    .feed_mut(upstream)
+                    .holder_id
+                    .or_else(|| self.allocate_holder_id(upstream))
+                {
+                    self.index.insert(block, holder_id);
                 }
             }
         }
     }
 
-    fn feed(&mut self, slot: UpstreamIndex) -> &mut Feed {
-        self.feeds[usize::from(slot.0)]
+    fn feed_mut(&mut self, upstream: UpstreamIndex) -> &mut EventFeed {
+        self.feeds[usize::from(upstream.0)]
             .as_mut()
-            .expect("feed was opened")
+            .expect("feed is open")
     }
 
-    fn forget(&mut self) {
-        let Some((at, block, slot)) = self.expiries.pop_front() else {
+    fn pop_expiry(&mut self) {
+        let Some((at, block, upstream)) = self.expiries.pop_front() else {
             return;
         };
-        let Some(slots) = self.expected.get_mut(&block) else {
+        let Some(upstreams) = self.expected.get_mut(&block) else {
             return;
         };
-        slots.retain(|(held, expires)| *held != slot || *expires > at);
-        if slots.is_empty() {
+        upstreams.retain(|(held, expires)| *held != upstream || *expires > at);
+        if upstreams.is_empty() {
             self.expected.remove(&block);
         }
     }
 
-    /// Takes a free lane for the upstream; without one its blocks go unrecorded until a sweep ends.
-    fn lease(&mut self, slot: UpstreamIndex) -> Option<HolderId> {
-        let free = (1..MAX_HOLDER_IDS).find(|lane| self.lanes[*lane] == Use::Free)?;
-        self.lanes[free] = Use::Live(slot);
-        let lane = HolderId(free as u16);
-        self.feed(slot).lane = Some(lane);
-        Some(lane)
+    /// Allocates a free holder id for the upstream. If none is free, its blocks are not recorded
+    /// until a sweep frees one.
+    fn allocate_holder_id(&mut self, upstream: UpstreamIndex) -> Option<HolderId> {
+        let free = (1..MAX_HOLDER_IDS)
+            .find(|holder_id| self.holder_ids[*holder_id] == HolderIdState::Free)?;
+        self.holder_ids[free] = HolderIdState::Live(upstream);
+        let holder_id = HolderId(free as u16);
+        self.feed_mut(upstream).holder_id = Some(holder_id);
+        Some(holder_id)
     }
 
-    /// Opens the feed for an incarnation and version and returns whether either is new, or nothing
-    /// when the incarnation has been succeeded by another.
-    fn open(
+    /// Opens the feed for an incarnation and version and returns whether either is new, or `None`
+    /// if a later incarnation is known.
+    fn open_feed(
         &mut self,
-        slot: UpstreamIndex,
+        upstream: UpstreamIndex,
         incarnation: Incarnation,
         version: &str,
     ) -> Option<bool> {
-        self.admit(slot);
-        let at = usize::from(slot.0);
+        self.ensure_feed_entry(upstream);
+        let at = usize::from(upstream.0);
         if let Some(feed) = &self.feeds[at] {
             if incarnation < feed.incarnation {
                 return None;
@@ -371,109 +390,118 @@
                 return Some(false);
             }
         }
-        let next = match &self.feeds[at] {
-            Some(feed) if feed.incarnation == incarnation => feed.next,
+        let next_sequence = match &self.feeds[at] {
+            Some(feed) if feed.incarnation == incarnation => feed.next_sequence,
             _ => 0,
         };
-        self.renew(slot);
-        self.feeds[at] = Some(Feed {
+        self.discard_entries(upstream);
+        self.feeds[at] = Some(EventFeed {
             buffer: VecDeque::new(),
-            buffered: 0,
-            doubt: None,
+            buffered_changes: 0,
+            gap_since: None,
             incarnation,
-            lane: None,
-            next,
+            holder_id: None,
+            next_sequence,
             version: version.to_owned(),
         });
         Some(true)
     }
 
-    fn peek(&self, slot: UpstreamIndex) -> Option<&Feed> {
-        self.feeds.get(usize::from(slot.0))?.as_ref()
+    fn feed(&self, upstream: UpstreamIndex) -> Option<&EventFeed> {
+        self.feeds.get(usize::from(upstream.0))?.as_ref()
     }
 
     /// Makes all entries of the upstream stale at once; the sweep removes them later.
-    fn renew(&mut self, slot: UpstreamIndex) {
-        let since = self.swept;
-        if let Some(Some(feed)) = self.feeds.get_mut(usize::from(slot.0))
-            && let Some(lane) = feed.lane.take()
+    fn discard_entries(&mut self, upstream: UpstreamIndex) {
+        let since = self.completed_sweeps;
+        if let Some(Some(feed)) = self.feeds.get_mut(usize::from(upstream.0))
+            && let Some(holder_id) = feed.holder_id.take()
         {
-            self.lanes[usize::from(lane.0)] = Use::Stale { since };
+            self.holder_ids[usize::from(holder_id.0)] = HolderIdState::Stale { since };
         }
-        for slots in self.expected.values_mut() {
-            slots.retain(|(held, _)| *held != slot);
+        for upstreams in self.expected.values_mut() {
+            upstreams.retain(|(held, _)| *held != upstream);
         }
-        self.expected.retain(|_, slots| !slots.is_empty());
+        self.expected.retain(|_, upstreams| !upstreams.is_empty());
     }
 
-    fn sweep(&mut self) {
-        let stale = |lane: &Use| matches!(lane, Use::Stale { .. });
-        if !self.lanes.iter().any(stale) {
+    fn sweep_segments(&mut self) {
+        let stale = |state: &HolderIdState| matches!(state, HolderIdState::Stale { .. });
+        if !self.holder_ids.iter().any(stale) {
             return;
         }
-        for _ in 0..SWEEP_SEGMENTS {
-            let lanes = &self.lanes;
-            let keep = |lane: HolderId| matches!(lanes[usize::from(lane.0)], Use::Live(_));
-            self.index.sweep(self.sweep, keep);
-            self.sweep += 1;
-            if self.sweep == self.index.segments() {
-                self.sweep = 0;
-                self.swept += 1;
-                self.release();
+        for _ in 0..SEGMENTS_PER_TICK {
+            let holder_ids = &self.holder_ids;
+            let keep = |holder_id: HolderId| {
+                matches!(holder_ids[usize::from(holder_id.0)], HolderIdState::Live(_))
+            };
+            self.index.sweep(self.next_segment, keep);
+            self.next_segment += 1;
+            if self.next_segment == self.index.segments() {
+                self.next_segment = 0;
+                self.completed_sweeps += 1;
+                self.free_swept_holder_ids();
             }
         }
     }
 
-    /// Frees the lanes that a whole sweep has passed over since they became stale.
-    fn release(&mut self) {
-        let swept = self.swept;
-        for lane in &mut self.lanes {
-            if matches!(lane, Use::Stale { since } if *since + 2 <= swept) {
-                *lane = Use::Free;
+    /// Frees the holder ids over which a whole sweep has passed since they became stale. A sweep
+    /// that was under way at that time does not count, hence the 2.
+    fn free_swept_holder_ids(&mut self) {
+        let completed = self.completed_sweeps;
+        for state in &mut self.holder_ids {
+            if matches!(state, HolderIdState::Stale { since } if *since + 2 <= completed) {
+                *state = HolderIdState::Free;
             }
         }
     }
 }
 
 impl CachedPrefixes {
-    /// Returns how many leading blocks the upstream holds already.
-    pub fn cached(&self, slot: UpstreamIndex) -> u32 {
-        self.held.get(usize::from(slot.0)).copied().unwrap_or(0)
+    /// Returns how many leading blocks the upstream holds.
+    pub fn cached(&self, upstream: UpstreamIndex) -> u32 {
+        self.cached
+            .get(usize::from(upstream.0))
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Returns how many leading blocks the upstream holds or will hold soon.
-    pub fn cached_or_expected(&self, slot: UpstreamIndex) -> u32 {
-        self.soon.get(usize::from(slot.0)).copied().unwrap_or(0)
+    pub fn cached_or_expected(&self, upstream: UpstreamIndex) -> u32 {
+        self.cached_or_expected
+            .get(usize::from(upstream.0))
+            .copied()
+            .unwrap_or(0)
     }
 }
 
-impl Feed {
-    /// Ends the doubt and returns the batches that were kept for replay.
-    fn settle(&mut self) -> VecDeque<Batch> {
-        self.buffered = 0;
-        self.doubt = None;
+impl EventFeed {
+    /// Marks the gap as closed and returns the batches that were buffered for replay.
+    fn close_gap(&mut self) -> VecDeque<Batch> {
+        self.buffered_changes = 0;
+        self.gap_since = None;
         std::mem::take(&mut self.buffer)
     }
 
-    /// Keeps a batch for replay over the snapshot that was asked for.
-    fn remember(&mut self, batch: &Batch) {
-        if self.doubt.is_none() {
+    /// Keeps a batch for replay over the next snapshot, while there is a gap.
+    fn buffer_for_replay(&mut self, batch: &Batch) {
+        if self.gap_since.is_none() {
             return;
         }
-        self.buffered += batch.changes.len();
+        self.buffered_changes += batch.changes.len();
         self.buffer.push_back(batch.clone());
-        while self.buffered > BUFFERED_CHANGES {
+        while self.buffered_changes > MAX_BUFFERED_CHANGES {
             let Some(oldest) = self.buffer.pop_front() else {
                 return;
             };
-            self.buffered -= oldest.changes.len();
+            self.buffered_changes -= oldest.changes.len();
         }
     }
 }
 
-/// Counts the block at `at` for the upstream if it continues what is counted.
-fn advance(depths: &mut [u32], slot: UpstreamIndex, at: u32) -> bool {
-    match depths.get_mut(usize::from(slot.0)) {
+/// Extends the upstream's prefix by the block at position `at`, if it holds all blocks before it.
+fn extend_prefix(depths: &mut [u32], upstream: UpstreamIndex, at: u32) -> bool {
+    match depths.get_mut(usize::from(upstream.0)) {
         Some(depth) if *depth == at => {
             *depth = at + 1;
             true
--- a/crates/state/src/cell.rs
+++ b/crates/state/src/cell.rs
@@ -1,4 +1,4 @@
-//! One value of the table.
+//! A cell of the table.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,84 +10,86 @@
 use crate::column::Column;
 use crate::column::ValueType;
 
+/// Hexadecimal digits of a BLAKE3 hash.
 const HASH_DIGITS: usize = 64;
+/// Most bytes of a name, and most characters of a refused text that an error repeats.
 const MAX_NAME_LEN: usize = 64;
 
-/// Holds one value of the table, already checked against its column.
+/// A value of the table that fits its column.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Cell {
-    /// Holds an IP address and a port.
+    /// An IP address and a port.
     Address(SocketAddr),
-    /// Holds a yes or no.
+    /// True or false.
     Flag(bool),
-    /// Holds a whole number.
+    /// A whole number.
     Number(u64),
-    /// Holds a word.
+    /// A name, a hash or one of a column's words.
     Text(String),
 }
 
-/// Tells why a text is no value for a column.
+/// Reason why a text is not a value of a column.
 #[derive(Clone, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
 pub enum Error {
-    /// Reports a text that is not an IP address with a port.
+    /// The text is not an IP address with a port.
     #[error("column `{column}` takes an IP address and port such as 192.0.2.1:8000, not `{text}`")]
     Address {
-        /// Names the column.
+        /// The column.
         column: Column,
-        /// Repeats the text.
+        /// Start of the refused text.
         text: String,
     },
-    /// Reports a text that is none of a column's words.
+    /// The text is none of the column's words.
     #[error("column `{column}` takes one of {accepted}, not `{text}`")]
     Choice {
-        /// Lists the words.
+        /// The column's words, separated by commas.
         accepted: String,
-        /// Names the column.
+        /// The column.
         column: Column,
-        /// Repeats the text.
+        /// Start of the refused text.
         text: String,
     },
-    /// Reports a text that is neither `true` nor `false`.
+    /// The text is neither `true` nor `false`.
     #[error("column `{column}` takes true or false, not `{text}`")]
     Flag {
-        /// Names the column.
+        /// The column.
         column: Column,
-        /// Repeats the text.
+        /// Start of the refused text.
         text: String,
     },
-    /// Reports a text that is not a hash.
+    /// The text is not a hash.
     #[error("column `{column}` takes {HASH_DIGITS} hexadecimal digits")]
     Hash {
-        /// Names the column.
+        /// The column.
         column: Column,
     },
-    /// Reports a text that is not a name.
+    /// The text is not a name.
     #[error(
         "column `{column}` takes 1 to {MAX_NAME_LEN} letters, digits, dots, dashes and \
          underscores, not `{text}`"
     )]
     Name {
-        /// Names the column.
+        /// The column.
         column: Column,
-        /// Repeats the text.
+        /// Start of the refused text.
         text: String,
     },
-    /// Reports a text that is not a whole number within the column's bounds.
+    /// The text is not a whole number within the column's bounds.
     #[error("column `{column}` takes a whole number from {min} to {max}, not `{text}`")]
     Number {
-        /// Names the column.
+        /// The column.
         column: Column,
-        /// Gives the least number.
+        /// The least number.
         min: u64,
-        /// Gives the greatest number.
+        /// The greatest number.
         max: u64,
-        /// Repeats the text.
+        /// Start of the refused text.
         text: String,
     },
 }
 
 impl Cell {
-    /// Reads `text` as a value of `column`.
+    /// Parses `text` as a value of `column`.
     ///
     /// # Errors
     ///
@@ -140,7 +142,7 @@
     }
 }
 
-/// Returns whether `text` may name a row.
+/// Returns whether `text` is a valid name of a row.
 pub fn is_name(text: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '-' | '_');
     (1..=MAX_NAME_LEN).contains(&text.len()) && text.chars().all(plain)
--- a/crates/state/src/column.rs
+++ b/crates/state/src/column.rs
@@ -1,4 +1,4 @@
-//! The columns of the table and the form of their cells.
+//! The columns of the table and the values that they accept.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use strum::EnumIter;
 use strum::EnumString;
 
-/// Names a column of a sheet.
+/// A column of one or more sheets.
 #[derive(
     Clone,
     Copy,
@@ -25,78 +25,78 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Column {
-    /// Holds the adapter that a model serves with.
+    /// The adapter that a model serves with.
     Adapter,
-    /// Holds the IP address and port of an upstream.
+    /// The IP address and port of an upstream.
     Address,
-    /// Holds the bytes of prompt in one cached block of a model.
+    /// Bytes of prompt in one cached block of a model.
     BlockBytes,
-    /// Holds how many requests one caller may have in flight across the fleet.
+    /// Most requests that one caller may have in flight across the fleet.
     CallerLimit,
-    /// Holds whether an upstream refuses orders that carry an old fencing number.
+    /// Whether an upstream refuses orders that carry an old fencing token.
     ChecksFence,
-    /// Holds the default deadline of a kind of work, in milliseconds.
+    /// The default deadline of a kind of work, in milliseconds.
     Deadline,
-    /// Holds the failure domain of an upstream.
+    /// The failure domain of an upstream.
     Domain,
-    /// Holds the share of capacity that a kind of work keeps in a flood, in percent.
+    /// Share of the capacity that a kind of work keeps under overload, in percent.
     Floor,
-    /// Holds whether a kind of work may be run again.
+    /// Whether a kind of work may be run again.
     Idempotent,
-    /// Holds the BLAKE3 hash of a workspace's bearer key, as 64 hexadecimal digits.
+    /// The BLAKE3 hash of a workspace's bearer key, as 64 hexadecimal digits.
     KeyHash,
-    /// Holds how many requests may be in flight across the fleet.
+    /// Most requests that may be in flight across the fleet.
     Limit,
-    /// Holds how many upstreams may load weights of a model at once.
+    /// Most upstreams that may load weights of a model at once.
     LoadLimit,
-    /// Holds how many upstreams must go on serving a model during a roll-out.
+    /// Fewest upstreams that must go on serving a model during a roll-out.
     MinimumServing,
-    /// Holds the model that an upstream serves.
+    /// The model that an upstream serves.
     Model,
-    /// Holds the rank of a kind of work.
+    /// The rank of a kind of work.
     Rank,
-    /// Holds the tokens a second that a workspace may use across the fleet.
+    /// Tokens per second that a workspace may use across the fleet.
     Rate,
-    /// Holds the role that an engine should play.
+    /// The role of an engine: prefill, decode or both.
     Role,
-    /// Holds the name under which a plain service is called.
+    /// Name under which a plain service is called.
     Service,
-    /// Holds whether an upstream takes new work.
+    /// Whether an upstream takes new work.
     Standing,
-    /// Holds how far hit rate goes before first-token time, from 0 to 100.
+    /// Trade-off between time to first token (0) and cache hit rate (100).
     Trade,
-    /// Holds the type of an upstream.
+    /// The type of an upstream.
     Type,
-    /// Holds the weights version that a model should serve.
+    /// The weights version that a model should serve.
     Version,
-    /// Holds a relative weight; the default is 100.
+    /// A relative weight; the default is 100.
     Weight,
 }
 
-/// Describes what a cell of a column may hold.
+/// Type of the values that a column accepts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ValueType {
-    /// Accepts an IP address and a port.
+    /// An IP address and a port.
     Address,
-    /// Accepts one of the given words.
+    /// One of the given words.
     Choice(&'static [&'static str]),
-    /// Accepts `true` or `false`.
+    /// `true` or `false`.
     Flag,
-    /// Accepts 64 hexadecimal digits.
+    /// 64 hexadecimal digits.
     Hash,
-    /// Accepts a name of 1 to 64 letters, digits, dots, dashes and underscores.
+    /// A name of 1 to 64 letters, digits, dots, dashes and underscores.
     Name,
-    /// Accepts a whole number within bounds, both included.
+    /// A whole number within bounds, both included.
     Number {
-        /// Gives the least number.
+        /// The least number.
         min: u64,
-        /// Gives the greatest number.
+        /// The greatest number.
         max: u64,
     },
 }
 
 impl Column {
-    /// Returns what a cell of this column may hold.
+    /// Returns the type of the values that this column accepts.
     pub fn value_type(self) -> ValueType {
         const LIMIT: ValueType = ValueType::Number {
             min: 0,
--- a/crates/state/src/edit.rs
+++ b/crates/state/src/edit.rs
@@ -1,4 +1,4 @@
-//! Changes to the table.
+//! Edits: changes to the table that an operator asks for.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::column::Column;
 use crate::row;
 
-/// Tells what an edit does to its row.
+/// What an edit does to its row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
@@ -20,24 +20,24 @@
     Set(BTreeMap<Column, Option<String>>),
 }
 
-/// Asks for one change of one row.
+/// Request to change one row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Edit {
-    /// Tells what to do.
+    /// The change to the row.
     pub action: Action,
-    /// Names the operator.
+    /// Name of the operator.
     pub author: String,
-    /// Gives the row revision that the operator saw; an added row has revision 0.
+    /// Revision of the row that the operator saw; 0 for a row that is added.
     pub if_revision: u64,
-    /// Names this edit, so that one sent again gets the first answer.
+    /// Idempotency key of the edit: if it is sent again, it gets the first answer.
     pub key: String,
-    /// Names the row.
+    /// Name of the row.
     pub name: row::Name,
 }
 
-/// Confirms an accepted edit.
+/// Confirmation of an accepted edit.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Receipt {
-    /// Gives the table revision that the edit produced.
+    /// The table revision that the edit produced.
     pub revision: u64,
 }
--- a/crates/state/src/fair_queue.rs
+++ b/crates/state/src/fair_queue.rs
@@ -1,41 +1,44 @@
-//! A queue that is fair by workspace, then by caller, in units of work.
+//! A queue that is fair by workspace, then by caller, in units of work (start-time fair queueing).
 //!
-//! Each flow has a virtual time that advances by the work it was served, divided by its weight; the
-//! flow that lags most is served next. A flow that was idle starts at the time of those in service,
-//! so it neither saves up work nor waits behind what others queued before.
+//! Each flow has a start tag that advances by the work it was served, divided by its weight; the
+//! flow with the least tag is served next. A flow that was idle starts at the virtual time, which
+//! is the tag of the flow served last, so it neither saves up work nor waits behind what others
+//! queued before.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
 
+/// Units of a start tag for one unit of work at weight 1, so that division by a weight keeps
+/// precision.
 const SCALE: u64 = 1_000;
 
-/// Names the place of an item in the queue.
+/// Identifies the flow that an item belongs to.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct FlowKey {
-    /// Names the caller within its workspace.
+    /// Name of the caller within its workspace.
     pub caller: String,
-    /// Names the workspace.
+    /// Name of the workspace.
     pub workspace: String,
 }
 
-/// Tells what to do after an item was looked at.
+/// What to do with an item that a search has reached.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Leaves the item and looks at the next one.
+    /// Leave the item and go on with the next one.
     Skip,
-    /// Ends the search without an item.
+    /// End the search without an item.
     Stop,
-    /// Takes the item and charges this much work.
+    /// Take the item and charge its flow this much work.
     Take(u64),
 }
 
-/// Bounds how far a search goes.
+/// Limits on the items that a search looks at.
 #[derive(Clone, Copy, Debug)]
 pub struct SearchLimits {
-    /// Bounds the items looked at in all.
+    /// Most items in all.
     pub total: usize,
-    /// Bounds the items looked at of one caller.
+    /// Most items of one caller.
     pub per_caller: usize,
 }
 
@@ -56,7 +59,7 @@
     weight: u64,
 }
 
-/// Holds waiting items by workspace and caller.
+/// Waiting items by workspace and caller.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
     virtual_time: u64,
@@ -82,7 +85,7 @@
         self.groups.values().map(|group| group.flows.len()).sum()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -99,7 +102,7 @@
         flow.map_or(0, |flow| flow.items.len())
     }
 
-    /// Adds an item at the end of its caller's.
+    /// Adds an item behind the others of its caller; `weight` is that of the workspace.
     pub fn push(&mut self, key: &FlowKey, item: T, weight: u64) {
         let virtual_time = self.virtual_time;
         let group = self
@@ -115,7 +118,7 @@
         self.len += 1;
     }
 
-    /// Removes and returns all items for which `wanted` holds, in no order of service.
+    /// Removes and returns all items for which `wanted` returns true, in no particular order.
     pub fn remove(&mut self, mut wanted: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut removed = Vec::new();
         for (workspace, group) in &mut self.groups {
@@ -127,7 +130,7 @@
         removed
     }
 
-    /// Looks at items in order of service until `judge` takes one or the reach ends.
+    /// Passes items to `decide` in order of service until it takes one or a limit is reached.
     pub fn take(
         &mut self,
         limits: SearchLimits,
@@ -159,7 +162,7 @@
         item
     }
 
-    /// Forgets idle workspaces and callers that have nothing left to make up for.
+    /// Forgets idle workspaces and callers whose start tags the virtual time has passed.
     pub fn remove_idle(&mut self) {
         let virtual_time = self.virtual_time;
         for group in self.groups.values_mut() {
@@ -244,7 +247,7 @@
         self.len += 1;
     }
 
-    /// Moves wanted items to `removed` and returns whether none is left.
+    /// Moves wanted items to `removed` and returns whether the workspace has no items left.
     fn remove(&mut self, wanted: &mut impl FnMut(&T) -> bool, removed: &mut Vec<T>) -> bool {
         let before = removed.len();
         for (caller, mut flow) in std::mem::take(&mut self.flows) {
--- a/crates/state/src/history.rs
+++ b/crates/state/src/history.rs
@@ -1,4 +1,4 @@
-//! Who changed what in the table, and the answers that resent edits get again.
+//! History of the table: accepted edits, and the answers that edits get when they are sent again.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,16 +11,17 @@
 use crate::table;
 use crate::table::Table;
 
+/// Most edits, and most answers, that are remembered.
 const MAX_ENTRIES: usize = 10_000;
 
-/// Records one accepted edit.
+/// An accepted edit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// Gives the log's time of the edit, in milliseconds.
+    /// Log time of the edit, in milliseconds.
     pub at: u64,
-    /// Holds the edit, with its author.
+    /// The edit, with its author.
     pub edit: Edit,
-    /// Gives the table revision that it produced.
+    /// Table revision that the edit produced.
     pub revision: u64,
 }
 
@@ -30,7 +31,7 @@
     result: Result<Receipt, table::Error>,
 }
 
-/// Remembers the newest edits with their answers.
+/// The newest accepted edits, and the answers to the newest edits by their keys.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct History {
     answers: BTreeMap<String, AnsweredEdit>,
@@ -39,11 +40,12 @@
 }
 
 impl History {
-    /// Applies `edit` to `table` at the log's time `at`, or repeats the answer that its key got.
+    /// Applies `edit` to `table` at the log time `at`, or repeats the answer that its key got
+    /// before.
     ///
     /// # Errors
     ///
-    /// Returns what was wrong with the edit, or with its key when that named another edit before.
+    /// Returns an error if the edit is invalid, or if its key was used for another edit.
     pub fn apply(
         &mut self,
         at: u64,
--- a/crates/state/src/ident.rs
+++ b/crates/state/src/ident.rs
@@ -1,20 +1,20 @@
-//! Identities that several layers share.
+//! Identifiers that several layers share.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Identifies one run of an upstream's process; a restart brings another.
+/// Identifies one run of an upstream's process; each restart gets a greater number.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// Identifies a block of cached prompt by all that its content depends on.
+/// Identifies a cached block of a prompt by a hash of all that its content depends on.
 ///
-/// The key chains over workspace, model, weights version, parent block and the block's own text,
-/// so equal keys mean equal prefixes and no workspace can name a block of another.
+/// The hash chains over workspace, model, weights version, parent block and the block's own text,
+/// so equal hashes mean equal prefixes and no workspace can name a block of another.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -24,7 +24,7 @@
     const CONTEXT: &'static str = "hibiscushoist 2026-12 cached block";
     const VERSION_CONTEXT: &'static str = "hibiscushoist 2026-12 weights version";
 
-    /// Returns the root that all blocks of one workspace, model and weights version descend from.
+    /// Returns the parent of the first blocks of one workspace, model and weights version.
     pub fn root(workspace: &str, model: &str, version: &str) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(Self::CONTEXT);
         for part in [workspace, model, version] {
@@ -34,7 +34,7 @@
         Self::truncate(&hasher.finalize())
     }
 
-    /// Returns the block that follows this one and holds `content`.
+    /// Returns the hash of the block that follows this one and holds `content`.
     pub fn child(self, content: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(Self::CONTEXT);
         hasher.update(&self.0.to_le_bytes());
@@ -42,18 +42,19 @@
         Self::truncate(&hasher.finalize())
     }
 
-    /// Returns the name that this block has on an upstream that serves weights `version`.
+    /// Returns the hash under which an upstream that serves weights `version` holds this block.
     ///
-    /// Directories hold blocks without a version, so that a roll-out does not hide what the
-    /// upstreams of the older weights still hold; upstreams and stores only ever see names with
-    /// one. Applied again with the same version, it returns the name without a version.
+    /// Cache directories use hashes without a version, so that during a roll-out the blocks of
+    /// upstreams with the older weights are still found; upstreams and stores only ever see hashes
+    /// with a version. Applied again with the same version, it returns the hash without a version.
     pub fn with_version(self, version: &str) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(Self::VERSION_CONTEXT);
         hasher.update(version.as_bytes());
         Self(self.0 ^ Self::truncate(&hasher.finalize()).0)
     }
 
-    /// Returns the blocks of `prompt`, each of `size` bytes; a shorter tail is not a block.
+    /// Returns the hashes of the blocks of `prompt`, each of `size` bytes; a shorter rest at the
+    /// end is not a block.
     ///
     /// # Panics
     ///
@@ -76,12 +77,13 @@
     }
 }
 
-/// Identifies the content of a request.
+/// Hash of the content of a request.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// Returns the digest of `parts`, which are kept apart by their lengths.
+    /// Returns the digest of `parts`; their lengths are hashed too, so that moving a boundary
+    /// changes the digest.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -1,11 +1,10 @@
 //! The ledger of calls that may run at most once.
 //!
-//! An attempt is recorded before its first byte leaves, its outcome afterwards. A settled record
-//! keeps the answer for repeats until [`Limits::answer_window_ms`] or [`Limits::max_answers`] ends
-//! that; its identity then stays known, and repeats stay refused, until
-//! [`Limits::dedup_window_ms`] ends.
-//! Times are those of the replicated log, which may gain on real time by no more than
-//! the window's margin of one fiftieth.
+//! An attempt is recorded before its first byte is sent, and its outcome afterwards. The answer is
+//! kept for repeats until [`Limits::answer_window_ms`] has passed, or until [`Limits::max_answers`]
+//! or [`Limits::max_bytes`] is exceeded. From then on only the id of the call is kept, and repeats
+//! are refused, until [`Limits::dedup_window_ms`] has passed. Times are those of the replicated
+//! log, which may run ahead of real time by no more than the margin of that window, one fiftieth.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,123 +15,131 @@
 
 use crate::ident::Digest;
 
+/// Number of buckets over which the ids of one deduplication window are spread; a bucket expires
+/// as a whole.
 const BUCKETS_PER_WINDOW: u64 = 64;
 const HOUR_MS: u64 = 3_600_000;
+/// Part of the deduplication window that is added to it, because the log's time may run ahead of
+/// real time.
 const CLOCK_MARGIN_DIVISOR: u64 = 50;
+/// Most answered intents that one record remembers.
 const MAX_ANSWERED_INTENTS: usize = 16;
 
-/// Fences one attempt at a call; a later attempt has a greater number.
+/// Fencing number of one attempt at a call; a later attempt has a greater number.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Attempt(pub u64);
 
-/// Answers an [`Intent`].
+/// Answer to an [`Intent`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Decision {
-    /// Refuses a repeat whose call ran or may have run and whose answer is no longer held.
+    /// Refused: the call ran or may have run, and its answer is no longer kept.
     Expired,
-    /// Refuses a new call because the ledger holds as many records as it may.
+    /// Refused: the ledger holds as many records as it may, and the call is new.
     Full,
-    /// Refuses a key that stands for another body.
+    /// Refused: the key was used for another request.
     Mismatch,
-    /// Returns the stored answer of the call.
+    /// The call ran, and this is its stored answer.
     Replay(Response),
-    /// Lets the asker send the call, once, under this attempt.
+    /// The requester may send the call, once, under this attempt.
     Run(Attempt),
-    /// Tells that another asker is sending the call; a later asking needs an owner of its own.
+    /// Another requester is sending the call; a later request needs a new intent id.
     Running(Attempt),
-    /// Refuses a copy of an asking that had an answer; the call has not run, ask under a new owner.
+    /// Refused: the intent is a late copy of one that was answered before. The call has not run;
+    /// it may be requested again with a new intent id.
     Stale,
-    /// Tells that the call may have run; it is never run again.
+    /// The call may have run; it is never run again.
     Unknown,
 }
 
-/// Asks to send a call.
+/// Request to send a call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Intent {
-    /// Identifies the method, path and body.
+    /// Digest of the method, path and body.
     pub digest: Digest,
-    /// Gives how long the asker may take, in milliseconds, before the outcome counts as unknown.
+    /// Time that the requester may take before the outcome counts as unknown, in milliseconds.
     pub timeout_ms: u64,
-    /// Names the call.
+    /// Key of the call.
     pub key: CallKey,
-    /// Names this asking, so that one resent after a lost answer gets the same attempt.
+    /// Identifies this request, so that a copy sent after a lost answer gets the same attempt.
     pub intent_id: u128,
 }
 
-/// Names a call within its workspace.
+/// Identifies a call.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CallKey {
-    /// Holds the caller's idempotency key.
+    /// The caller's idempotency key, unique within the workspace.
     pub idempotency: String,
-    /// Names the workspace.
+    /// Name of the workspace.
     pub workspace: String,
 }
 
-/// Bounds what a ledger holds.
+/// Limits on what a ledger keeps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Limits {
-    /// Gives the most answers held.
+    /// Most answers that are kept.
     pub max_answers: usize,
-    /// Gives how long an answer is held, in milliseconds.
+    /// Time for which an answer is kept, in milliseconds.
     pub answer_window_ms: u64,
-    /// Gives the most bytes of answers held.
+    /// Most bytes of all kept answers together.
     pub max_bytes: usize,
-    /// Gives how long a repeat is sure not to run again, in milliseconds.
+    /// Time for which a repeat is guaranteed not to run again, in milliseconds.
     pub dedup_window_ms: u64,
-    /// Gives the most records held, those without an answer included.
+    /// Most records that are kept, those without an answer included.
     pub max_records: usize,
-    /// Gives the most bytes of one answer.
+    /// Most bytes of one answer; a longer one is not kept.
     pub max_answer_bytes: usize,
 }
 
-/// Tells how an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// Reports an answer of the service.
+    /// The service answered.
     Done(Response),
-    /// Reports that no byte can have left, or that the service said it did not run the call.
+    /// No byte was sent, or the service said that it did not run the call.
     NotRun,
-    /// Reports that the call may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// Reports the outcome of an attempt.
+/// Report of the outcome of an attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Report {
-    /// Names the attempt.
+    /// The attempt.
     pub attempt: Attempt,
-    /// Names the call.
+    /// Key of the call.
     pub key: CallKey,
-    /// Tells how it ended.
+    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// Holds the answer of a service.
+/// Answer of a service.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Response {
-    /// Holds the body.
+    /// The body.
     pub body: Vec<u8>,
-    /// Holds the media type of the body.
+    /// Media type of the body.
     pub content_type: String,
-    /// Holds the HTTP status.
+    /// HTTP status.
     pub status: u16,
 }
 
-/// Answers a [`Report`].
+/// Answer to a [`Report`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Settlement {
-    /// Confirms that the outcome is recorded.
+    /// The outcome is recorded.
     Recorded,
-    /// Refuses an outcome of an attempt that is not the newest or was settled otherwise.
+    /// Refused: the attempt is not the newest, or has another outcome already.
     Stale,
 }
 
+/// Ids of calls whose answers are no longer kept and whose repeats are refused until a time.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct RetiredBucket {
     ids: BTreeSet<u128>,
     until: u64,
 }
 
+/// An intent that was answered, and the newest attempt at that time.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct AnsweredIntent {
     attempt: Attempt,
@@ -145,6 +152,7 @@
     Settled { at: u64, outcome: Outcome },
 }
 
+/// State of one call, as of its newest attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Record {
     attempt: Attempt,
@@ -154,6 +162,7 @@
     answered_intents: Vec<AnsweredIntent>,
 }
 
+/// Entry of the list of settled records, oldest first; outdated if the record was settled again.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Settled {
     at: u64,
@@ -216,7 +225,8 @@
         }
     }
 
-    /// Records `intent` at the log's time `now`, or tells what became of the call earlier.
+    /// Starts an attempt for `intent` at the log's time `now`, or returns the outcome of an earlier
+    /// one.
     pub fn begin(&mut self, now: u64, intent: &Intent) -> Decision {
         self.expire(now);
         let id = intent.key.id();
@@ -227,7 +237,7 @@
             return Decision::Full;
         }
         let Some(record) = self.records.get_mut(&id) else {
-            return self.run(now, id, intent);
+            return self.start_attempt(now, id, intent);
         };
         if record.digest != intent.digest {
             return Decision::Mismatch;
@@ -242,13 +252,14 @@
             }
             Phase::Settled { outcome, .. } => match outcome {
                 Outcome::Done(response) => Decision::Replay(response.clone()),
-                Outcome::NotRun => self.run_again(now, id, intent),
+                Outcome::NotRun => self.start_again(now, id, intent),
                 Outcome::Unknown => Decision::Unknown,
             },
         }
     }
 
-    /// Ends attempts and windows that are over at the log's time `now`.
+    /// Settles attempts whose deadline has passed as unknown, and drops answers and ids whose
+    /// window has passed, at the log's time `now`.
     pub fn expire(&mut self, now: u64) {
         while let Some((deadline, id)) = self.deadlines.first().copied()
             && deadline <= now
@@ -259,7 +270,7 @@
             && (now.saturating_sub(front.at) >= self.limits.answer_window_ms
                 || self.is_over_answer_limits())
         {
-            self.retire();
+            self.drop_oldest_answer();
         }
         while self.retired.front().is_some_and(|b| b.until <= now) {
             let bucket = self.retired.pop_front();
@@ -292,12 +303,12 @@
         }
     }
 
-    /// Returns whether no record is held.
+    /// Returns whether no record is kept.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns how many records are held, those without an answer included.
+    /// Returns how many records are kept, those without an answer included.
     pub fn len(&self) -> usize {
         self.records.len() + self.retired_len
     }
@@ -311,7 +322,7 @@
         self.settled.len() > self.limits.max_answers || self.bytes > self.limits.max_bytes
     }
 
-    fn retire(&mut self) {
+    fn drop_oldest_answer(&mut self) {
         let Some(Settled { at, id }) = self.settled.pop_front() else {
             return;
         };
@@ -347,7 +358,7 @@
         }
     }
 
-    fn run(&mut self, now: u64, id: u128, intent: &Intent) -> Decision {
+    fn start_attempt(&mut self, now: u64, id: u128, intent: &Intent) -> Decision {
         self.attempts += 1;
         let attempt = Attempt(self.attempts);
         let deadline = now.saturating_add(intent.timeout_ms);
@@ -364,7 +375,7 @@
         Decision::Run(attempt)
     }
 
-    fn run_again(&mut self, now: u64, id: u128, intent: &Intent) -> Decision {
+    fn start_again(&mut self, now: u64, id: u128, intent: &Intent) -> Decision {
         let record = self.records.get(&id);
         let late = |r: &Record| {
             r.intent_id == intent.intent_id
@@ -375,7 +386,7 @@
         if record.is_some_and(late) {
             return Decision::Stale;
         }
-        self.run(now, id, intent)
+        self.start_attempt(now, id, intent)
     }
 
     fn settle(&mut self, now: u64, id: u128, outcome: Outcome) {
@@ -404,7 +415,7 @@
         self.answered_intents
     }
 
-    /// Remembers an asking that was answered while this attempt was the newest.
+    /// Remembers that an intent was answered while this attempt was the newest.
     fn record_answered_intent(&mut self, intent_id: u128) {
         if self
             .answered_intents
@@ -422,7 +433,7 @@
         });
     }
 
-    /// Confirms a late copy of a report that an earlier attempt did not run.
+    /// Confirms a late copy of a report that an earlier attempt did not run the call.
     fn settled_earlier(&self, report: &Report) -> Settlement {
         let known = self
             .answered_intents
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,4 +1,4 @@
-//! Holds the state that every decision reads: the table, the ledger, the directory and its keys.
+//! The state on which decisions are based: the table, the ledger, the cache directory and queues.
 //!
 //! Nothing here does I/O or reads a clock. Times are passed in as milliseconds.
 
--- a/crates/state/src/rank.rs
+++ b/crates/state/src/rank.rs
@@ -1,4 +1,4 @@
-//! The ranks of work.
+//! Ranks: the priority classes of work.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// Orders kinds of work by how soon they are served.
+/// Priority class of a kind of work.
 #[derive(
     Clone,
     Copy,
@@ -28,15 +28,15 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Rank {
-    /// Means work that can wait, but keeps a floor of the capacity.
+    /// Work that can wait, but keeps a minimum share of the capacity.
     #[default]
     Background,
-    /// Means work that is served first.
+    /// Work that is served first.
     Urgent,
 }
 
 impl Rank {
-    /// Returns the position of the rank in arrays that hold one value for each.
+    /// Returns the index of the rank in arrays with one value per rank.
     pub fn index(self) -> usize {
         self as usize
     }
--- a/crates/state/src/routing.rs
+++ b/crates/state/src/routing.rs
@@ -1,6 +1,6 @@
-//! The routed table: which requests go to which service, for whom and within what limits.
+//! The routed table: which requests go to which service, for which callers and within what limits.
 //!
-//! An operator replaces it whole. Its version orders replacements; the highest one holds.
+//! An operator always replaces the whole table. The table with the highest version is in force.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,51 +12,51 @@
 use strum::Display;
 use thiserror::Error;
 
-/// Tells what may be repeated of a request.
+/// Whether and how a request may be repeated.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Kind {
-    /// Means that a request may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// Means that a request may run at most once.
+    /// A request may run at most once.
     Order,
-    /// Means that the answer is a stream of events, which may be resumed where the route says so.
+    /// The answer is a stream of events, which may be resumed where the route says so.
     Stream,
 }
 
-/// Sends a share of a route's requests to a service.
+/// A service that gets a share of a route's requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
-    /// Names the service.
+    /// Name of the service.
     pub service: String,
-    /// Weighs the service against the other targets of the route.
+    /// Weight of the service relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// Describes the requests under one host name and path prefix.
+/// A route: how requests under one host name and path prefix are served.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Route {
-    /// Bounds the upstreams on which a request may run.
+    /// Most upstreams on which a request may run.
     pub attempt_limit: u32,
-    /// Gives the longest pause between events of an answer that is on time, in milliseconds.
+    /// Longest pause between the events of an answer that counts as on time, in milliseconds.
     pub max_event_gap_ms: u64,
-    /// Gives the time to the first byte of an answer that is on time, in milliseconds.
+    /// Longest time to the first byte of an answer that counts as on time, in milliseconds.
     pub first_byte_goal_ms: u64,
-    /// Names the host that callers ask for.
+    /// Host name of the requests.
     pub host: String,
-    /// Tells what may be repeated.
+    /// Whether and how the requests may be repeated.
     pub kind: Kind,
-    /// Begins the paths of the route's requests.
+    /// Prefix of the paths of the requests.
     pub prefix: String,
-    /// Tells whether requests need no key.
+    /// Whether the requests need no key.
     pub public: bool,
-    /// Ranks the requests; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub rank: u32,
-    /// Tells whether a broken stream may go on at another upstream.
+    /// Whether a broken stream may be resumed at another upstream.
     pub resumable: bool,
-    /// Lists the services.
+    /// The services that serve the requests.
     pub targets: Vec<Target>,
-    /// Bounds the time to the end of an answer, in milliseconds.
+    /// Longest time to the end of an answer, in milliseconds.
     pub timeout_ms: u64,
 }
 
@@ -71,103 +71,104 @@
     }
 }
 
-/// Describes the upstreams that share one job.
+/// A service: a group of interchangeable upstreams.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Service {
-    /// Bounds the connections that one upstream accepts from all hosts together.
+    /// Most connections that one upstream accepts from all hosts together.
     pub connections: u32,
-    /// Tells whether the upstreams are model engines.
+    /// Whether the upstreams are model engines.
     pub engine: bool,
-    /// Counts the tokens that the memory of one engine holds, where that is known.
+    /// Number of tokens that fit into the memory of one engine, if known.
     pub memory_tokens: Option<u64>,
-    /// Names the service.
+    /// Name of the service.
     pub name: String,
-    /// Tells where the service keeps cached parts of prompts, where that is its job.
+    /// Store in which the service keeps cached parts of prompts, if it has one.
     pub store: Option<Store>,
 }
 
-/// Places a store of cached parts of prompts.
+/// A store of cached parts of prompts.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Store {
-    /// Holds its address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Names its failure domain.
+    /// Name of the store's failure domain.
     pub domain: String,
 }
 
-/// Describes the callers who share keys.
+/// A workspace: the callers who share keys.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Workspace {
-    /// Tells whether cached prompts must not be shared with other workspaces.
+    /// Whether cached prompts must not be shared with other workspaces.
     pub isolated: bool,
-    /// Holds the BLAKE3 hashes of the keys.
+    /// BLAKE3 hashes of the keys.
     pub keys: Vec<[u8; 32]>,
-    /// Names the workspace.
+    /// Name of the workspace.
     pub name: String,
-    /// Ranks its requests; 0 is the most urgent.
+    /// Priority of the workspace's requests; 0 is the most urgent.
     pub rank: u32,
 }
 
-/// Tells why a table cannot come into force.
+/// Reason why a table is invalid.
 #[derive(Clone, Debug, Error, Eq, PartialEq)]
 pub enum TableError {
-    /// Reports a key that two workspaces hold.
+    /// Two workspaces have the same key.
     #[error("workspaces `{first}` and `{second}` share a key")]
     DuplicateKey {
-        /// Names one workspace.
+        /// Name of one workspace.
         first: String,
-        /// Names the other.
+        /// Name of the other.
         second: String,
     },
-    /// Reports two routes for the same requests.
+    /// Two routes have the same host name and prefix.
     #[error("two routes have host `{host}` and prefix `{prefix}`")]
     DuplicateRoute {
-        /// Names the host.
+        /// Name of the host.
         host: String,
-        /// Gives the prefix.
+        /// The prefix.
         prefix: String,
     },
-    /// Reports a target that does not exist.
+    /// The service of a target does not exist.
     #[error("route `{prefix}` names the unknown service `{service}`")]
     UnknownService {
-        /// Gives the prefix of the route.
+        /// The prefix of the route.
         prefix: String,
-        /// Names the service.
+        /// Name of the service.
         service: String,
     },
-    /// Reports a route that no request could ever be served by.
+    /// A route has a timeout of zero, so that every request would fail.
     #[error("route `{prefix}` has a timeout of 0 ms")]
     ZeroTimeout {
-        /// Gives the prefix of the route.
+        /// The prefix of the route.
         prefix: String,
     },
-    /// Reports a route whose weights add up to nothing.
+    /// The weights of a route's targets add up to zero.
     #[error("the weights of route `{prefix}` add up to 0")]
     ZeroWeight {
-        /// Gives the prefix of the route.
+        /// The prefix of the route.
         prefix: String,
     },
 }
 
-/// Holds routes, services and workspaces as of one version.
+/// Routes, services and workspaces as of one version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Table {
-    /// Lists the routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// Lists the services.
+    /// The services that serve the requests.
     pub services: Vec<Service>,
-    /// Orders the tables; 0 means that none was ever accepted.
+    /// Version of the table; a higher one replaces a lower one, and 0 means that no table was ever
+    /// accepted.
     pub version: u64,
-    /// Lists the workspaces; with none at all, requests need no key.
+    /// The workspaces; with none at all, requests need no key.
     pub workspaces: Vec<Workspace>,
 }
 
 impl Table {
-    /// Checks that the table can come into force.
+    /// Checks that the table is valid.
     ///
     /// # Errors
     ///
-    /// Returns the first fault found.
+    /// Returns the first problem found.
     pub fn check(&self) -> Result<(), TableError> {
         let services: BTreeSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut seen = BTreeSet::new();
@@ -218,19 +219,19 @@
     }
 }
 
-/// Holds the routed state that the log replicates.
+/// The routing state that the log replicates.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RoutingState {
-    /// Holds the operator's text of the table, for operators who read it back.
+    /// The table as the operator sent it, for operators who read it back.
     pub source: Arc<String>,
-    /// Holds the table in force.
+    /// The table in force.
     pub table: Arc<Table>,
-    /// Gives the newest weights version of each model.
+    /// The newest weights version of each model.
     pub weights_versions: BTreeMap<String, u64>,
 }
 
 impl RoutingState {
-    /// Takes a table unless the one in force is as new, and returns whether it took it.
+    /// Replaces the table if the new one has a higher version, and returns whether it did.
     pub fn replace(&mut self, source: Arc<String>, table: Arc<Table>) -> bool {
         let newer = table.version > self.table.version;
         if newer {
@@ -240,7 +241,8 @@
         newer
     }
 
-    /// Names the weights version that engines of `model` should have; an older one changes nothing.
+    /// Raises the weights version that engines of `model` should serve; a lower one changes
+    /// nothing.
     pub fn raise_weights_version(&mut self, model: impl Into<String>, version: u64) {
         let newest = self.weights_versions.entry(model.into()).or_default();
         *newest = version.max(*newest);
--- a/crates/state/src/routing_index.rs
+++ b/crates/state/src/routing_index.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request and the workspace of a key in a routed table.
+//! Lookup of the route of a request and of the workspace of a key in a routed table.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use crate::routing::Table;
 use crate::routing::Workspace;
 
-/// Holds a routed table with what is needed to look things up in it.
+/// A routed table with hash maps for lookup.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingIndex {
     keys: HashMap<[u8; 32], usize>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the route with the longest prefix of `path` under `host`.
+    /// Returns the route of `host` with the longest prefix that `path` starts with.
     pub fn route(&self, host: impl AsRef<str>, path: impl AsRef<str>) -> Option<&Route> {
         let host = host.as_ref();
         let indices = match self.routes.get(host) {
@@ -57,12 +57,12 @@
         Some(&self.table.services[*index])
     }
 
-    /// Returns the table.
+    /// Returns the table of this index.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// Returns the workspace that holds `key`.
+    /// Returns the workspace that `key` belongs to.
     pub fn workspace(&self, key: impl AsRef<[u8]>) -> Option<&Workspace> {
         let hash = *blake3::hash(key.as_ref()).as_bytes();
         let index = self.keys.get(&hash)?;
--- a/crates/state/src/row.rs
+++ b/crates/state/src/row.rs
@@ -10,26 +10,26 @@
 use crate::column::Column;
 use crate::sheet::Sheet;
 
-/// Names a row across the whole table.
+/// Name of a row, unique in the whole table.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Name {
-    /// Names the sheet.
+    /// The sheet.
     pub sheet: Sheet,
-    /// Names the row within its sheet.
+    /// Name within the sheet.
     pub row: String,
 }
 
-/// Holds the cells of a row and the revision that last changed one.
+/// The cells of a row and the revision that last changed one.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// Holds the filled cells.
+    /// The filled cells.
     pub cells: BTreeMap<Column, Cell>,
-    /// Holds the table revision of the last change.
+    /// Table revision of the last change.
     pub revision: u64,
 }
 
 impl Row {
-    /// Returns the address in `column`.
+    /// Returns the address in `column`, if the cell holds one.
     pub fn address(&self, column: Column) -> Option<SocketAddr> {
         match self.cells.get(&column) {
             Some(Cell::Address(address)) => Some(*address),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the flag in `column`.
+    /// Returns the flag in `column`, if the cell holds one.
     pub fn flag(&self, column: Column) -> Option<bool> {
         match self.cells.get(&column) {
             Some(Cell::Flag(flag)) => Some(*flag),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the number in `column`.
+    /// Returns the number in `column`, if the cell holds one.
     pub fn number(&self, column: Column) -> Option<u64> {
         match self.cells.get(&column) {
             Some(Cell::Number(number)) => Some(*number),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the word in `column`.
+    /// Returns the text in `column`, if the cell holds one.
     pub fn text(&self, column: Column) -> Option<&str> {
         match self.cells.get(&column) {
             Some(Cell::Text(text)) => Some(text),
--- a/crates/state/src/sheet.rs
+++ b/crates/state/src/sheet.rs
@@ -1,4 +1,4 @@
-//! The parts of the table.
+//! The sheets of the table and their columns.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,7 +8,7 @@
 
 use crate::column::Column;
 
-/// Names a part of the table; each has rows of one shape.
+/// A sheet of the table; its rows have the same columns.
 #[derive(
     Clone,
     Copy,
@@ -27,13 +27,13 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Sheet {
-    /// Lists the kinds of work that callers ask for.
+    /// The kinds of work that callers ask for.
     Kinds,
-    /// Lists the models and the weights version that each should serve.
+    /// The models and the weights version that each should serve.
     Models,
-    /// Lists the upstreams.
+    /// The upstreams.
     Upstreams,
-    /// Lists the workspaces.
+    /// The workspaces.
     Workspaces,
 }
 
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -16,77 +16,80 @@
 use crate::row::Row;
 use crate::sheet::Sheet;
 
-/// Tells why an edit was refused; the table is unchanged.
+/// Reason why an edit was refused; the table is unchanged.
 #[derive(Clone, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
 pub enum Error {
-    /// Reports a text that does not fit its column.
+    /// A text does not fit its column.
     #[error("{0}")]
     Cell(#[from] cell::Error),
-    /// Reports an edit based on a revision that is no longer the row's.
+    /// The edit is based on a revision that is no longer the row's.
     #[error(
         "row `{}` of `{}` is at revision {found}, not {expected}; read it again",
         name.row,
         name.sheet
     )]
     Conflict {
-        /// Gives the revision that the edit named.
+        /// Revision that the edit is based on.
         expected: u64,
-        /// Gives the row's revision.
+        /// Revision of the row.
         found: u64,
-        /// Names the row.
+        /// Name of the row.
         name: row::Name,
     },
-    /// Reports a change that would leave a listed model without a serving upstream.
+    /// The change would leave a listed model without a serving upstream.
     #[error(
         "{} of row `{}` would leave model `{model}` without a serving upstream",
         column.map_or_else(|| "removal".to_owned(), |c| format!("cell `{c}`")),
         name.row
     )]
     EmptyModel {
-        /// Names the cell's column, unless the whole row goes.
+        /// Column of the cell, or `None` if the whole row is removed.
         column: Option<Column>,
-        /// Names the model.
+        /// Name of the model.
         model: String,
-        /// Names the row.
+        /// Name of the row.
         name: row::Name,
     },
-    /// Reports a column that the sheet does not have.
+    /// The sheet does not have the column.
     #[error("sheet `{sheet}` has no column `{column}`")]
     ForeignColumn {
-        /// Names the column.
+        /// The column.
         column: Column,
-        /// Names the sheet.
+        /// The sheet.
         sheet: Sheet,
     },
-    /// Reports a required column left empty.
+    /// A required column is empty.
     #[error("sheet `{sheet}` needs column `{column}`")]
     MissingColumn {
-        /// Names the column.
+        /// The column.
         column: Column,
-        /// Names the sheet.
+        /// The sheet.
         sheet: Sheet,
     },
-    /// Reports a text that cannot name a row.
-    #[error("`{text}` is no row name: use 1 to 64 letters, digits, dots, dashes and underscores")]
+    /// The text is not a valid name of a row.
+    #[error(
+        "`{text}` is not a valid row name: use 1 to 64 letters, digits, dots, dashes and \
+         underscores"
+    )]
     Name {
-        /// Repeats the text.
+        /// The refused text.
         text: String,
     },
-    /// Reports an edit key that named another edit before.
-    #[error("edit key `{key}` named another edit before; use a new key")]
+    /// The edit key was used for another edit before.
+    #[error("edit key `{key}` was used for another edit before; use a new key")]
     ReusedKey {
-        /// Repeats the key.
+        /// The refused key.
         key: String,
     },
-    /// Reports a row that does not exist.
+    /// The row does not exist.
     #[error("sheet `{}` has no row `{}`", name.sheet, name.row)]
     UnknownRow {
-        /// Names the row.
+        /// Name of the row.
         name: row::Name,
     },
 }
 
-/// Holds all rows and the revision of the newest change.
+/// The rows of all sheets and the revision of the newest change.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Table {
     revision: u64,
@@ -98,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first thing wrong with the edit and leaves the table unchanged.
+    /// Returns the first problem found in the edit and leaves the table unchanged.
     pub fn apply(&mut self, edit: &Edit) -> Result<Receipt, Error> {
         self.check_revision(edit)?;
         let row = self.changed_cells(edit)?;
@@ -119,7 +122,7 @@
         })
     }
 
-    /// Returns the row of that name.
+    /// Returns the row of that sheet and name.
     pub fn get(&self, sheet: Sheet, row: impl Into<String>) -> Option<&Row> {
         let row = row.into();
         self.rows.get(&row::Name { sheet, row })
@@ -222,6 +225,7 @@
     }
 }
 
+/// Columns that decide whether an upstream serves a model; see [`served_model`].
 const SERVING_COLUMNS: [Column; 5] = [
     Column::Limit,
     Column::Model,
@@ -230,6 +234,7 @@
     Column::Weight,
 ];
 
+/// Returns the first column of [`SERVING_COLUMNS`] whose cell differs.
 fn changed_serving_column(
     before: &BTreeMap<Column, Cell>,
     after: &BTreeMap<Column, Cell>,
@@ -238,6 +243,7 @@
     SERVING_COLUMNS.iter().find(changed).copied()
 }
 
+/// Returns the model that a row of the table serves: an engine that takes new work.
 fn served_model(sheet: Sheet, cells: &BTreeMap<Column, Cell>) -> Option<&str> {
     let word = |column| match cells.get(&column) {
         Some(Cell::Text(text)) => Some(text.as_str()),
@@ -245,8 +251,8 @@
     };
     let zero = |column| cells.get(&column) == Some(&Cell::Number(0));
     let engine = sheet == Sheet::Upstreams && word(Column::Type) == Some("engine");
-    let stands = word(Column::Standing).is_none_or(|standing| standing == "serving");
-    let serves = engine && stands && !zero(Column::Limit) && !zero(Column::Weight);
+    let takes_work = word(Column::Standing).is_none_or(|standing| standing == "serving");
+    let serves = engine && takes_work && !zero(Column::Limit) && !zero(Column::Weight);
     serves.then(|| word(Column::Model)).flatten()
 }
 
--- a/crates/state/src/time.rs
+++ b/crates/state/src/time.rs
@@ -1,25 +1,25 @@
-//! Points in time and lengths of time as plain numbers, so that decisions replay from a seed.
+//! Points in time as plain numbers, so that a simulation can replay decisions from a seed.
 
 use std::ops::Add;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Represents a point on one process's monotonic clock, in milliseconds.
+/// A point on the monotonic clock of one process, in milliseconds.
 ///
-/// Instants of two processes do not compare.
+/// Instants of different processes cannot be compared.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// Returns the milliseconds since `earlier`, or zero where `earlier` lies ahead.
+    /// Returns the milliseconds since `earlier`, or zero if `earlier` is later than this instant.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the point in time that lies `millis` back, or the first of the clock.
+    /// Returns the instant `millis` before this one, or zero if the clock started later.
     pub fn before(self, millis: u64) -> Self {
         Self(self.0.saturating_sub(millis))
     }
--- a/crates/state/tests/decoders.rs
+++ b/crates/state/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Checks the reading of cells and edits from text and bytes of any kind.
+//! Properties of parsing cells and edits: any text or bytes are a value or an error, never a panic.
 
 use proptest::collection::btree_map;
 use proptest::collection::vec;
@@ -27,7 +27,7 @@
     select(Sheet::iter().collect::<Vec<_>>())
 }
 
-/// Draws texts near the borders of every form, and others.
+/// Generates texts near the limits of every value type, and arbitrary ones.
 fn text() -> impl Strategy<Value = String> {
     proptest::prop_oneof![
         ".{0,80}",
@@ -44,7 +44,7 @@
 
 proptest! {
     #[test]
-    fn a_cell_that_is_read_is_written_and_read_the_same(column in column(), text in text()) {
+    fn a_parsed_cell_survives_a_round_trip_through_text(column in column(), text in text()) {
         if let Ok(cell) = Cell::parse(column, &text) {
             let written = cell.to_string();
             prop_assert_eq!(Cell::parse(column, &written), Ok(cell));
@@ -52,7 +52,7 @@
     }
 
     #[test]
-    fn a_number_out_of_bounds_is_no_cell(column in column(), number in any::<u64>()) {
+    fn a_number_is_accepted_only_within_its_bounds(column in column(), number in any::<u64>()) {
         if let ValueType::Number { min, max } = column.value_type() {
             let read = Cell::parse(column, &number.to_string());
             prop_assert_eq!(read.is_ok(), (min..=max).contains(&number));
@@ -60,14 +60,14 @@
     }
 
     #[test]
-    fn a_refused_text_is_not_repeated_at_length(column in column(), text in ".{100,400}") {
+    fn an_error_does_not_repeat_the_whole_of_a_long_text(column in column(), text in ".{100,400}") {
         if let Err(error) = Cell::parse(column, &text) {
             prop_assert!(!error.to_string().contains(&text));
         }
     }
 
     #[test]
-    fn an_edit_changes_its_row_or_nothing(
+    fn an_edit_adds_its_row_or_leaves_the_table_unchanged(
         cells in btree_map(column(), text(), 0..6),
         sheet in sheet(),
         row in text(),
@@ -91,7 +91,7 @@
     }
 
     #[test]
-    fn bytes_of_any_kind_are_an_edit_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_decode_to_an_edit_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
         if let Ok(edit) = postcard::from_bytes::<Edit>(&bytes) {
             let written = postcard::to_stdvec(&edit).unwrap();
             prop_assert_eq!(postcard::from_bytes::<Edit>(&written), Ok(edit));
--- a/crates/state/tests/ident.rs
+++ b/crates/state/tests/ident.rs
@@ -1,16 +1,16 @@
-//! Checks that blocks of other workspaces, models, parents and versions never share a name.
+//! Block hashes: equal for equal prefixes, different for other workspaces, models and versions.
 
 use state::ident::BlockHash;
 
 const PROMPT: &[u8] = b"dossier-coast-spot";
 
 #[test]
-fn chain_holds_whole_blocks_only() {
+fn a_chain_has_only_whole_blocks() {
     assert_eq!(BlockHash::root("maps", "m", "").chain(PROMPT, 8).len(), 2);
 }
 
 #[test]
-fn equal_prefixes_share_their_blocks() {
+fn equal_prefixes_have_equal_hashes() {
     let root = BlockHash::root("maps", "m", "");
     let long = root.chain(b"dossier-coast-spot", 6);
     let short = root.chain(b"dossier-coast-cove", 6);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn other_workspaces_models_and_parents_differ() {
+fn hashes_differ_between_workspaces_models_and_parents() {
     let block = BlockHash::root("maps", "m", "").child(PROMPT);
     assert_ne!(block, BlockHash::root("stores", "m", "").child(PROMPT));
     assert_ne!(block, BlockHash::root("maps", "n", "").child(PROMPT));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn versions_name_a_block_apart_and_back() {
+fn versions_change_the_hash_and_the_same_version_restores_it() {
     let block = BlockHash::root("maps", "m", "").child(PROMPT);
     assert_ne!(block.with_version("v1"), block.with_version("v2"));
     assert_ne!(block.with_version("v1"), block);
--- a/crates/state/tests/ledger.rs
+++ b/crates/state/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Tests the ledger of calls that may run at most once.
+//! The ledger: calls run at most once, whatever is repeated, delayed or lost.
 
 use assert_matches::assert_matches;
 
@@ -14,7 +14,7 @@
 use state::ledger::Response;
 use state::ledger::Settlement;
 
-const HOLD: u64 = 1_000;
+const TIMEOUT_MS: u64 = 1_000;
 const LIMITS: Limits = Limits {
     max_answers: 3,
     answer_window_ms: 10_000,
@@ -27,13 +27,13 @@
 fn intent(key: &str, intent_id: u128) -> Intent {
     Intent {
         digest: Digest::of(&[b"body"]),
-        timeout_ms: HOLD,
-        key: name(key),
+        timeout_ms: TIMEOUT_MS,
+        key: call_key(key),
         intent_id,
     }
 }
 
-fn name(key: &str) -> CallKey {
+fn call_key(key: &str) -> CallKey {
     CallKey {
         idempotency: key.to_owned(),
         workspace: "w".to_owned(),
@@ -43,7 +43,7 @@
 fn report(key: &str, attempt: u64, outcome: Outcome) -> Report {
     Report {
         attempt: Attempt(attempt),
-        key: name(key),
+        key: call_key(key),
         outcome,
     }
 }
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn done_call_is_replayed() {
+fn the_answer_of_a_completed_call_is_replayed() {
     let mut ledger = Ledger::new(LIMITS);
     let decision = ledger.begin(0, &intent("a", 1));
     assert_eq!(decision, Decision::Run(Attempt(1)));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn resent_intent_gets_the_same_attempt_and_another_asker_waits() {
+fn a_copy_of_an_intent_gets_the_same_attempt_and_another_intent_waits() {
     let mut ledger = Ledger::new(LIMITS);
     assert_eq!(ledger.begin(0, &intent("a", 1)), Decision::Run(Attempt(1)));
     assert_eq!(ledger.begin(1, &intent("a", 1)), Decision::Run(Attempt(1)));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn other_body_under_the_same_key_is_refused() {
+fn another_body_under_the_same_key_is_refused() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
     let mut other = intent("a", 2);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn call_that_did_not_run_gets_a_greater_attempt() {
+fn a_call_that_did_not_run_gets_a_greater_attempt() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
     ledger.finish(1, &report("a", 1, Outcome::NotRun));
@@ -108,30 +108,30 @@
 }
 
 #[test]
-fn abandoned_attempt_becomes_unknown_and_never_runs_again() {
+fn an_abandoned_attempt_becomes_unknown_and_never_runs_again() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
-    let decision = ledger.begin(HOLD - 1, &intent("a", 2));
+    let decision = ledger.begin(TIMEOUT_MS - 1, &intent("a", 2));
     assert_eq!(decision, Decision::Running(Attempt(1)));
-    assert_eq!(ledger.begin(HOLD, &intent("a", 2)), Decision::Unknown);
-    assert_eq!(ledger.begin(HOLD, &intent("a", 1)), Decision::Unknown);
+    assert_eq!(ledger.begin(TIMEOUT_MS, &intent("a", 2)), Decision::Unknown);
+    assert_eq!(ledger.begin(TIMEOUT_MS, &intent("a", 1)), Decision::Unknown);
 }
 
 #[test]
-fn late_answer_replaces_unknown() {
+fn a_late_answer_replaces_an_unknown_outcome() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
-    ledger.expire(HOLD);
+    ledger.expire(TIMEOUT_MS);
     let done = report("a", 1, Outcome::Done(response(3)));
-    assert_eq!(ledger.finish(HOLD + 5, &done), Settlement::Recorded);
-    let decision = ledger.begin(HOLD + 6, &intent("a", 2));
+    assert_eq!(ledger.finish(TIMEOUT_MS + 5, &done), Settlement::Recorded);
+    let decision = ledger.begin(TIMEOUT_MS + 6, &intent("a", 2));
     assert_eq!(decision, Decision::Replay(response(3)));
     let unknown = report("a", 1, Outcome::Unknown);
-    assert_eq!(ledger.finish(HOLD + 7, &unknown), Settlement::Stale);
+    assert_eq!(ledger.finish(TIMEOUT_MS + 7, &unknown), Settlement::Stale);
 }
 
 #[test]
-fn repeat_after_the_answer_window_is_refused_until_the_promise_ends() {
+fn a_repeat_after_the_answer_window_is_refused_until_the_dedup_window_ends() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
     ledger.finish(0, &report("a", 1, Outcome::Done(response(3))));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn pressure_drops_answers_but_never_lets_a_call_run_again() {
+fn too_many_answers_drop_the_oldest_but_no_call_runs_again() {
     let mut ledger = Ledger::new(LIMITS);
     for (number, key) in ["a", "b", "c", "d"].into_iter().enumerate() {
         ledger.begin(0, &intent(key, 1));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn full_ledger_refuses_new_calls_only() {
+fn a_full_ledger_refuses_only_new_calls() {
     let mut ledger = Ledger::new(LIMITS);
     for key in ["a", "b", "c", "d", "e"] {
         assert_matches!(ledger.begin(0, &intent(key, 1)), Decision::Run(_));
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn oversized_answer_is_not_held_and_its_call_never_runs_again() {
+fn an_oversized_answer_is_not_kept_and_its_call_never_runs_again() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
     let done = report("a", 1, Outcome::Done(response(500)));
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn call_that_did_not_run_is_forgotten_without_a_refusal() {
+fn a_call_that_did_not_run_is_forgotten_after_the_answer_window() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
     ledger.finish(0, &report("a", 1, Outcome::NotRun));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn late_copy_of_an_ended_asking_starts_no_attempt() {
+fn a_late_copy_of_an_answered_intent_starts_no_attempt() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
     ledger.finish(1, &report("a", 1, Outcome::NotRun));
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn late_copy_of_a_report_gets_its_first_answer() {
+fn a_late_copy_of_a_report_gets_its_first_answer() {
     let mut ledger = Ledger::new(LIMITS);
     let not_run = report("a", 1, Outcome::NotRun);
     ledger.begin(0, &intent("a", 1));
@@ -212,11 +212,11 @@
 }
 
 #[test]
-fn late_copy_of_an_asking_that_was_told_to_wait_starts_no_attempt() {
+fn a_late_copy_of_an_intent_that_had_to_wait_starts_no_attempt() {
     let mut ledger = Ledger::new(LIMITS);
     ledger.begin(0, &intent("a", 1));
-    let waits = ledger.begin(1, &intent("a", 2));
-    assert_eq!(waits, Decision::Running(Attempt(1)));
+    let decision = ledger.begin(1, &intent("a", 2));
+    assert_eq!(decision, Decision::Running(Attempt(1)));
     ledger.finish(2, &report("a", 1, Outcome::NotRun));
     assert_eq!(ledger.begin(3, &intent("a", 2)), Decision::Stale);
     assert_eq!(ledger.begin(4, &intent("a", 3)), Decision::Run(Attempt(2)));
--- a/crates/state/tests/routing.rs
+++ b/crates/state/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routed tables: what is refused, and what is found in them.
+//! Routed tables: checks, lookup, and replacement by version.
 
 use std::sync::Arc;
 
@@ -58,31 +58,37 @@
 }
 
 #[test]
-fn a_sound_table_passes() {
+fn a_valid_table_passes() {
     assert_eq!(table(1).check(), Ok(()));
 }
 
 #[test]
-fn each_fault_is_named() {
-    let mut unknown = table(1);
-    unknown.routes[0].targets[0].service = "gone".to_owned();
-    assert_matches!(unknown.check(), Err(TableError::UnknownService { .. }));
-    let mut twice = table(1);
-    twice.routes[1].prefix = "/a/".to_owned();
-    assert_matches!(twice.check(), Err(TableError::DuplicateRoute { .. }));
-    let mut weightless = table(1);
-    weightless.routes[0].targets[0].weight = 0;
-    assert_matches!(weightless.check(), Err(TableError::ZeroWeight { .. }));
-    let mut timeless = table(1);
-    timeless.routes[0].timeout_ms = 0;
-    assert_matches!(timeless.check(), Err(TableError::ZeroTimeout { .. }));
-    let mut shared = table(1);
-    shared.workspaces[1].keys = shared.workspaces[0].keys.clone();
-    assert_matches!(shared.check(), Err(TableError::DuplicateKey { .. }));
+fn each_error_of_a_table_is_reported() {
+    let mut unknown_service = table(1);
+    unknown_service.routes[0].targets[0].service = "gone".to_owned();
+    assert_matches!(
+        unknown_service.check(),
+        Err(TableError::UnknownService { .. })
+    );
+    let mut duplicate_route = table(1);
+    duplicate_route.routes[1].prefix = "/a/".to_owned();
+    assert_matches!(
+        duplicate_route.check(),
+        Err(TableError::DuplicateRoute { .. })
+    );
+    let mut zero_weight = table(1);
+    zero_weight.routes[0].targets[0].weight = 0;
+    assert_matches!(zero_weight.check(), Err(TableError::ZeroWeight { .. }));
+    let mut zero_timeout = table(1);
+    zero_timeout.routes[0].timeout_ms = 0;
+    assert_matches!(zero_timeout.check(), Err(TableError::ZeroTimeout { .. }));
+    let mut shared_key = table(1);
+    shared_key.workspaces[1].keys = shared_key.workspaces[0].keys.clone();
+    assert_matches!(shared_key.check(), Err(TableError::DuplicateKey { .. }));
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_found() {
+fn the_route_with_the_longest_prefix_is_found() {
     let index = RoutingIndex::new(Arc::new(table(1)));
     let prefix = |host: &str, path: &str| index.route(host, path).map(|r| r.prefix.clone());
     assert_eq!(prefix("h.example", "/a/x"), Some("/a/".to_owned()));
@@ -100,20 +106,20 @@
 
 #[test]
 fn only_a_higher_version_replaces_a_table() {
-    let mut held = RoutingState::default();
+    let mut state = RoutingState::default();
     let source = |text: &str| Arc::new(text.to_owned());
-    assert!(held.replace(source("two"), Arc::new(table(2))));
-    assert!(!held.replace(source("other"), Arc::new(table(2))));
-    assert!(!held.replace(source("one"), Arc::new(table(1))));
-    assert_eq!(*held.source, "two");
-    assert!(held.replace(source("three"), Arc::new(table(3))));
-    assert_eq!(held.table.version, 3);
+    assert!(state.replace(source("two"), Arc::new(table(2))));
+    assert!(!state.replace(source("other"), Arc::new(table(2))));
+    assert!(!state.replace(source("one"), Arc::new(table(1))));
+    assert_eq!(*state.source, "two");
+    assert!(state.replace(source("three"), Arc::new(table(3))));
+    assert_eq!(state.table.version, 3);
 }
 
 #[test]
-fn weights_never_go_back() {
-    let mut held = RoutingState::default();
-    held.raise_weights_version("m", 2);
-    held.raise_weights_version("m", 1);
-    assert_eq!(held.weights_versions["m"], 2);
+fn the_weights_version_never_decreases() {
+    let mut state = RoutingState::default();
+    state.raise_weights_version("m", 2);
+    state.raise_weights_version("m", 1);
+    assert_eq!(state.weights_versions["m"], 2);
 }
