--- a/crates/coordination/examples/assign_slope.rs
+++ b/crates/coordination/examples/assign_slope.rs
@@ -66,7 +66,7 @@
     };
     Fleet {
         edition: Edition { term: 1, number: 1 },
-        floors: BTreeMap::new(),
+        min_weights: BTreeMap::new(),
         upstreams: (0..engines).map(upstream).collect(),
     }
 }
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Drops the state of upstreams that are no longer listed and have no request in flight.
+    /// Drops the state of upstreams that are no longer listed; load and response times are kept
+    /// while requests are in flight.
     pub fn sync(&mut self, fleet: &Fleet) {
         let ids: Vec<&String> = fleet.upstreams.iter().map(|u| &u.id).collect();
         self.breaker.sync(ids.iter().map(|id| (*id).clone()));
@@ -354,12 +355,12 @@
 
     /// Returns whether the upstream's weights version may serve the request.
     fn is_current(&self, fleet: &Fleet, upstream: &Upstream, demand: &Demand) -> bool {
-        let floor = demand.model.as_ref().and_then(|model| {
-            let floor = fleet.floors.get(model)?;
-            Some((self.weights(upstream, model), *floor))
+        let min = demand.model.as_ref().and_then(|model| {
+            let min = fleet.min_weights.get(model)?;
+            Some((self.weights(upstream, model), *min))
         });
         let exact = demand.model.as_ref().zip(demand.exact_weights);
-        floor.is_none_or(|(weights, floor)| weights >= floor)
+        min.is_none_or(|(weights, min)| weights >= min)
             && exact.is_none_or(|(model, exact)| self.weights(upstream, model) == exact)
     }
 
--- a/crates/coordination/src/upstream.rs
+++ b/crates/coordination/src/upstream.rs
@@ -77,7 +77,7 @@
     /// Version of this list.
     pub edition: Edition,
     /// Oldest weights version of each model that may still serve requests.
-    pub floors: BTreeMap<String, u64>,
+    pub min_weights: BTreeMap<String, u64>,
     /// The upstreams.
     pub upstreams: Vec<Upstream>,
 }
--- a/crates/coordination/tests/dispatch.rs
+++ b/crates/coordination/tests/dispatch.rs
@@ -91,9 +91,9 @@
     let mut other = Dispatcher::new(1);
     other.set_other_loads(Instant(400), others);
     other.record_remote_prefixes(Instant(400), host.take_prefix_updates(Instant(400)));
-    let told = other.choose(Instant(401), &fleet, &demand).unwrap();
-    assert_ne!(id(&first), id(&told));
-    assert_eq!(told.fetch_from, Some(first.upstream.address));
+    let remote = other.choose(Instant(401), &fleet, &demand).unwrap();
+    assert_ne!(id(&first), id(&remote));
+    assert_eq!(remote.fetch_from, Some(first.upstream.address));
 }
 
 #[test]
@@ -115,12 +115,12 @@
 fn a_busy_engine_is_not_unresponsive_while_other_hosts_get_bytes_from_it() {
     let fleet = fleet(&[("a", 1), ("b", 1)]);
     let mut alone = Dispatcher::new(0);
-    let mut told = Dispatcher::new(0);
+    let mut informed = Dispatcher::new(0);
     let demand = long("p");
     let choice = alone.choose(Instant(0), &fleet, &demand).unwrap();
     let busy = pending_prefill(20_000);
-    let hosts = [&mut alone, &mut told];
-    let runs = hosts.map(|host| {
+    let hosts = [&mut alone, &mut informed];
+    let in_flight = hosts.map(|host| {
         host.set_other_loads(Instant(0), BTreeMap::from([(id(&choice).to_owned(), busy)]));
         host.record_sent(Instant(0), &choice, &demand)
     });
@@ -128,17 +128,17 @@
     // hosts in the meantime.
     for at in (100..=2_600).step_by(100) {
         let last_byte_age_ms = Some(60);
-        let heard = UpstreamLoad {
+        let recent = UpstreamLoad {
             last_byte_age_ms,
             ..busy
         };
-        told.set_other_loads(
+        informed.set_other_loads(
             Instant(at),
-            BTreeMap::from([(id(&choice).to_owned(), heard)]),
+            BTreeMap::from([(id(&choice).to_owned(), recent)]),
         );
     }
-    assert!(alone.is_unresponsive(Instant(2_600), &runs[0]));
-    assert!(!told.is_unresponsive(Instant(2_600), &runs[1]));
+    assert!(alone.is_unresponsive(Instant(2_600), &in_flight[0]));
+    assert!(!informed.is_unresponsive(Instant(2_600), &in_flight[1]));
 }
 
 #[test]
@@ -149,15 +149,15 @@
     let first = host.choose(Instant(0), &fleet, &demand).unwrap();
     let mut in_flight = host.record_sent(Instant(0), &first, &demand);
     host.record_prefill(Instant(300), &mut in_flight);
-    let place = fleet.upstreams.iter().position(|u| u.id == id(&first));
-    let place = place.unwrap();
+    let index = fleet.upstreams.iter().position(|u| u.id == id(&first));
+    let index = index.unwrap();
     for (standing, weights, fetch) in [
         (Standing::Loading, 1, first.upstream.address),
         (Standing::Loading, 2, address(STORE)),
         (Standing::Leaving, 1, address(STORE)),
     ] {
-        fleet.upstreams[place].standing = standing;
-        fleet.upstreams[place]
+        fleet.upstreams[index].standing = standing;
+        fleet.upstreams[index]
             .weights
             .insert("m".to_owned(), weights);
         let next = host.choose(Instant(301), &fleet, &demand).unwrap();
@@ -303,11 +303,7 @@
         }
     }
     let next = candidates(0, &fleet, "p");
-    assert_eq!(
-        next.len(),
-        140,
-        "engines that take no work are replaced by others"
-    );
+    assert_eq!(next.len(), 140, "leaving engines are replaced by others");
     assert!(next.is_disjoint(&first));
 }
 
@@ -412,8 +408,8 @@
     let fleet = fleet(&[("a", 1), ("b", 1), ("c", 1), ("d", 1)]);
     let mut host = Dispatcher::new(0);
     let mut sent: BTreeMap<String, u32> = BTreeMap::new();
-    for place in 0..400_u64 {
-        let random = place.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    for index in 0..400_u64 {
+        let random = index.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let demand = short(random);
         let choice = host.choose(Instant(0), &fleet, &demand).unwrap();
         let _ = host.record_sent(Instant(0), &choice, &demand);
@@ -440,9 +436,9 @@
 }
 
 #[test]
-fn no_request_goes_to_weights_below_the_floor() {
+fn no_request_goes_to_weights_below_the_minimum() {
     let mut fleet = fleet(&[("a", 1), ("b", 1)]);
-    fleet.floors.insert("m".to_owned(), 2);
+    fleet.min_weights.insert("m".to_owned(), 2);
     let mut host = Dispatcher::new(0);
     let refusal = host.choose(Instant(0), &fleet, &short(0));
     assert_eq!(refusal, Err(Refusal::NoUpstream));
--- a/crates/coordination/tests/upstream_fixtures/mod.rs
+++ b/crates/coordination/tests/upstream_fixtures/mod.rs
@@ -47,7 +47,7 @@
     };
     Fleet {
         edition: Edition { term: 1, number: 1 },
-        floors: BTreeMap::new(),
+        min_weights: BTreeMap::new(),
         upstreams: engines.iter().map(upstream).collect(),
     }
 }
--- a/crates/hibiscushoistd/src/steward.rs
+++ b/crates/hibiscushoistd/src/steward.rs
@@ -146,7 +146,7 @@
 
     /// Returns the oldest version of each model that may still serve: the newest of those that were
     /// named so long ago that no request may begin on an older one.
-    fn floors(&self) -> BTreeMap<String, u64> {
+    fn min_weights(&self) -> BTreeMap<String, u64> {
         let now = self.context.clock.now();
         let settings = self.context.settings.gateway.as_ref();
         let limit = settings.map_or(u64::MAX, |gateway| gateway.weights_limit.as_millis() as u64);
@@ -276,8 +276,8 @@
         };
         let upstreams: Vec<Upstream> = self.seen.iter().map(|seen| self.shown(seen)).collect();
         let shown = self.publish.borrow().clone();
-        let floors = self.floors();
-        let same = shown.upstreams == upstreams && shown.floors == floors;
+        let min_weights = self.min_weights();
+        let same = shown.upstreams == upstreams && shown.min_weights == min_weights;
         if shown.edition.term == term && same {
             return;
         }
@@ -290,7 +290,7 @@
         event::emit(&self.context.log, event::Event::FleetChanged, details);
         self.publish.send_replace(Arc::new(Fleet {
             edition,
-            floors,
+            min_weights,
             upstreams,
         }));
     }
