--- a/crates/coordination/src/voters.rs
+++ b/crates/coordination/src/voters.rs
@@ -15,7 +15,7 @@
 use crate::view::View;
 
 /// Returns a member that can be removed: more than `target` members vote, and its host is not
-/// healthy.
+/// healthy. The member on the own host is never removed.
 pub fn removable_voter(config: &Config, view: &View, target: usize) -> Option<MemberId> {
     if config.voters().count() <= target {
         return None;
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -18,7 +18,7 @@
 use coordination::view::View;
 use coordination::voters;
 
-const TARGET: usize = 3;
+const TARGET_VOTERS: usize = 3;
 
 fn host(index: usize, standing: Standing, draining: bool) -> view::Member {
     let mut profile = profile(index, 3);
@@ -62,7 +62,7 @@
 }
 
 fn replacements(view: &View) -> Vec<String> {
-    let hosts = voters::replacement_hosts(&members(&[0, 1, 2]), view, TARGET);
+    let hosts = voters::replacement_hosts(&members(&[0, 1, 2]), view, TARGET_VOTERS);
     hosts.into_iter().map(|(name, _)| name).collect()
 }
 
@@ -71,7 +71,7 @@
     let view = healthy_view(&[0, 1, 2, 3]);
     assert!(replacements(&view).is_empty());
     assert_eq!(
-        voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET),
+        voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET_VOTERS),
         None
     );
 }
@@ -83,13 +83,13 @@
     view.hosts[2] = host(2, Standing::Dead, false);
     assert_eq!(replacements(&view), [name(3)]);
     assert_eq!(
-        voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET),
+        voters::removable_voter(&members(&[0, 1, 2]), &view, TARGET_VOTERS),
         None
     );
     let all = members(&[0, 1, 2, 3]);
     let gone = Some(MemberId(2));
-    assert_eq!(voters::removable_voter(&all, &view, TARGET), gone);
-    assert!(voters::replacement_hosts(&all, &view, TARGET).is_empty());
+    assert_eq!(voters::removable_voter(&all, &view, TARGET_VOTERS), gone);
+    assert!(voters::replacement_hosts(&all, &view, TARGET_VOTERS).is_empty());
 }
 
 /// Guards against a wait for the failure detector, during which another host may be lost.
@@ -100,12 +100,12 @@
     assert_eq!(replacements(&view), [name(3)]);
     let all = members(&[0, 1, 2, 3]);
     let gone = Some(MemberId(2));
-    assert_eq!(voters::removable_voter(&all, &view, TARGET), gone);
+    assert_eq!(voters::removable_voter(&all, &view, TARGET_VOTERS), gone);
     let mut alone = healthy_view(&[0, 1, 2]);
     alone.hosts[2] = host(2, Standing::Suspect, false);
     assert!(replacements(&alone).is_empty());
     assert_eq!(
-        voters::removable_voter(&members(&[0, 1, 2]), &alone, TARGET),
+        voters::removable_voter(&members(&[0, 1, 2]), &alone, TARGET_VOTERS),
         None
     );
 }
@@ -136,5 +136,5 @@
     let mut view = healthy_view(&[0, 1, 2, 3]);
     view.hosts[0] = host(0, Standing::Alive, true);
     let all = members(&[0, 1, 2, 3]);
-    assert_eq!(voters::removable_voter(&all, &view, TARGET), None);
+    assert_eq!(voters::removable_voter(&all, &view, TARGET_VOTERS), None);
 }
