--- a/crates/coordination/src/admission.rs
+++ b/crates/coordination/src/admission.rs
@@ -316,7 +316,8 @@
         found
     }
 
-    /// Counts a request against the limits of its workspace, caller and kind.
+    /// Counts a request against the limits of its workspace, caller and kind, such as one that was
+    /// placed elsewhere or before a restart.
     pub fn add_usage(&mut self, request: &PlacementRequest) {
         let usage = self.usage.entry(request.workspace.clone()).or_default();
         usage.in_flight += 1;
--- a/crates/coordination/src/engine_load.rs
+++ b/crates/coordination/src/engine_load.rs
@@ -69,7 +69,7 @@
 /// Work that was sent to an engine and has not ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SentWork {
-    /// Number of resets of the engine's load before this work; older work no longer counts.
+    /// Number of resets of the load before this work was sent; a later reset drops the work.
     pub epoch: u64,
     /// Time of the grant.
     pub granted_at: Instant,
@@ -130,8 +130,8 @@
     table_limit: Option<u32>,
     /// Time at which the engine measured the last report.
     measured_at: Instant,
-    /// Time since which the engine computes the present prefill: the time of the last first token, or
-    /// of the first work that was sent while no prefill was pending.
+    /// Time since which the engine computes the present prefill: that of the last first token, or
+    /// of the last work that was sent while no prefill was pending.
     progress_at: Instant,
     report: Option<LoadReport>,
     mean_service_time_ms: Option<u64>,
--- a/crates/coordination/src/order.rs
+++ b/crates/coordination/src/order.rs
@@ -2,7 +2,7 @@
 //!
 //! The voters record the intent in the ledger before a byte is sent, and the outcome afterwards. An
 //! attempt may send only before its deadline, which ends before the ledger gives up waiting for the
-//! outcome, so that an attempt that stalled does not send after another one has started.
+//! outcome, so that an attempt that stalls cannot send after the ledger has given it up.
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -98,7 +98,7 @@
 /// A call to the owner of a digest, or of an upstream, from another host.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Call {
-    /// Copies the crashes of a digest so far to a host that may own it next.
+    /// Reports the crashes of a digest so far to a host that may own it next.
     Adopt(Digest, usize),
     /// Asks whether a digest may run.
     Enter(Digest, RunId),
@@ -134,6 +134,7 @@
     records: HashMap<Digest, Record>,
 }
 
+/// The time until which a run counts, or has its upstream to itself.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     run_id: RunId,
@@ -144,6 +145,7 @@
 struct Record {
     crashes: usize,
     quarantined_until: Option<Instant>,
+    /// Whether a run succeeded since the last crash.
     proven: bool,
     runs: Vec<Lease>,
     remembered_until: Instant,
@@ -317,6 +319,8 @@
         known
     }
 
+    /// Returns the record of `digest`. Where there are too many, it makes room by dropping obsolete
+    /// records, then those of digests that succeeded.
     fn record(&mut self, now: Instant, digest: Digest) -> &mut Record {
         let full = self.records.len() >= self.policy.max_records;
         if full && !self.records.contains_key(&digest) {
--- a/crates/coordination/src/report.rs
+++ b/crates/coordination/src/report.rs
@@ -22,7 +22,7 @@
 /// the new owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InFlightRequest {
-    /// The request as it was first sent to a broker.
+    /// The request as the entry host sent it to the earlier owner.
     pub request: PlacementRequest,
     /// Whether its first token arrived, so that its prefill is over.
     pub prefilled: bool,
