--- a/crates/hibiscushoistd/src/daemon.rs
+++ b/crates/hibiscushoistd/src/daemon.rs
@@ -35,11 +35,11 @@
 use crate::listeners::Listeners;
 use crate::load;
 use crate::member;
-use crate::outlook;
 use crate::owner::Owners;
 use crate::peer;
 use crate::platform;
 use crate::routes;
+use crate::routing_snapshot;
 use crate::settings::Entry;
 use crate::settings::Role;
 use crate::settings::Settings;
@@ -124,14 +124,14 @@
         let broker =
             broker::start(clock, owners, resync).change_context(Error::Duty { duty: "broker" })?;
         tokio::spawn(broker.clone().follow());
-        let (outlook, shown) = outlook::channel(
+        let (routing_updater, routing) = routing_snapshot::channel(
             settings
                 .gateway
                 .as_ref()
                 .map(|g| g.freshness)
                 .unwrap_or_default(),
         );
-        let gateway = bound.callers.map(|_| Arc::new(Gateway::new(shown)));
+        let gateway = bound.callers.map(|_| Arc::new(Gateway::new(routing)));
         let suspects = Suspects::new(clock, member.clone(), links.pool.clone(), voter.table());
         let context = Arc::new(Context {
             address,
@@ -168,7 +168,7 @@
             servers.extend(edges(&context, entry, listeners, &stopped));
         }
         if let Some(gateway) = gateway {
-            tokio::spawn(outlook.run(context.clone()));
+            tokio::spawn(routing_updater.run(context.clone()));
             tokio::spawn(gateway.follow(context.clone()));
         }
         voter.follow(member.view());
--- a/crates/hibiscushoistd/src/edge.rs
+++ b/crates/hibiscushoistd/src/edge.rs
@@ -44,8 +44,8 @@
 pub fn readiness(context: Arc<Context>, request: Request) -> BoxFuture<'static, Response<Body>> {
     async move {
         let gateway = context.gateway.as_ref();
-        let knows = gateway.is_some_and(|gateway| gateway.outlook.get(&context).is_some());
-        match (*context.draining.borrow(), knows) {
+        let is_fresh = gateway.is_some_and(|gateway| gateway.routing.fresh(&context).is_some());
+        match (*context.draining.borrow(), is_fresh) {
             (true, _) => caller::refuse(&request.id, Reason::Draining),
             (false, false) => caller::refuse(&request.id, Reason::QuorumAway),
             (false, true) => respond::whole(200, TEXT, "ready\n"),
--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -19,9 +19,9 @@
 use crate::caller as answers;
 use crate::context::Context;
 use crate::gateway_run;
-use crate::outlook;
-use crate::outlook::Known;
 use crate::request::Request;
+use crate::routing_snapshot;
+use crate::routing_snapshot::Snapshot;
 use coordination::dispatch::Dispatcher;
 use coordination::host::Role;
 use coordination::outage::Outage;
@@ -60,18 +60,18 @@
     /// Holds the connections to upstreams.
     pub lanes: Lanes,
     /// Shows what this host knows.
-    pub outlook: outlook::Handle,
+    pub routing: routing_snapshot::Handle,
     /// Bounds requests that go to a second upstream.
     pub retries: Mutex<RetryBudgets>,
 }
 
 impl Gateway {
     /// Returns a gateway that has sent nothing.
-    pub fn new(outlook: outlook::Handle) -> Self {
+    pub fn new(routing: routing_snapshot::Handle) -> Self {
         Self {
             dispatch: Mutex::new(Dispatcher::new(rand::random())),
             lanes: Lanes::default(),
-            outlook,
+            routing,
             retries: Mutex::new(RetryBudgets::new(budget(0, 0, 1), rand::random())),
         }
     }
@@ -89,14 +89,14 @@
     /// Keeps connections, budgets and what was seen in step with the fleet, until the task is
     /// dropped.
     pub async fn follow(self: Arc<Self>, context: Arc<Context>) {
-        let mut known = self.outlook.watch();
+        let mut snapshot = self.routing.subscribe();
         let mut view = context.member.view();
         loop {
             tokio::select! {
-                changed = known.changed() => if changed.is_err() { return; },
+                changed = snapshot.changed() => if changed.is_err() { return; },
                 changed = view.changed() => if changed.is_err() { return; },
             }
-            let fleet = known.borrow_and_update().fleet.clone();
+            let fleet = snapshot.borrow_and_update().fleet.clone();
             self.dispatch().sync(&fleet);
             let addresses: Vec<_> = fleet.upstreams.iter().map(|u| u.address).collect();
             self.lanes.retain(&addresses);
@@ -187,8 +187,8 @@
     facts: Facts,
 ) -> Result<Routed, Failure> {
     let arrived = context.clock.now();
-    let known = gateway.outlook.get(context).ok_or_else(|| {
-        let age = gateway.outlook.age_ms(context);
+    let snapshot = gateway.routing.fresh(context).ok_or_else(|| {
+        let age = gateway.routing.age_ms(context);
         let details = slog::o!("request" => facts.id.clone(), "age_ms" => age);
         event::emit(&context.log, Event::OutlookStale, details);
         // A host that has lost the leader may be cut off alone; one that has never heard of it
@@ -199,11 +199,11 @@
         };
         later(Reason::QuorumAway, after)
     })?;
-    let route = known.index.route(&facts.host, request.uri.path());
+    let route = snapshot.index.route(&facts.host, request.uri.path());
     let route = route
         .cloned()
         .ok_or(Failure::before_run(Reason::UnknownPath))?;
-    let workspace = workspace(&known, &route, &facts)?;
+    let workspace = workspace(&snapshot, &route, &facts)?;
     let service = drawn(&route.targets, rand::random());
     let service = service
         .ok_or(later(Reason::NoUpstream, MISSING_MS))?
@@ -237,12 +237,16 @@
     })
 }
 
-fn workspace(known: &Known, route: &Route, facts: &Facts) -> Result<Option<Workspace>, Failure> {
-    if known.index.table().workspaces.is_empty() || route.public {
+fn workspace(
+    snapshot: &Snapshot,
+    route: &Route,
+    facts: &Facts,
+) -> Result<Option<Workspace>, Failure> {
+    if snapshot.index.table().workspaces.is_empty() || route.public {
         return Ok(None);
     }
     let key = facts.key.as_ref();
-    let found = key.and_then(|key| known.index.workspace(key));
+    let found = key.and_then(|key| snapshot.index.workspace(key));
     match found {
         None => Err(Failure::before_run(Reason::Unauthorized)),
         Some(workspace) => Ok(Some(workspace.clone())),
--- a/crates/hibiscushoistd/src/gateway_account.rs
+++ b/crates/hibiscushoistd/src/gateway_account.rs
@@ -56,21 +56,21 @@
         answered: &Answered,
         attempts: u32,
     ) -> Self {
-        let known = gateway.outlook.known();
+        let snapshot = gateway.routing.latest();
         Self {
-            age_ms: gateway.outlook.age_ms(context),
+            age_ms: gateway.routing.age_ms(context),
             arrived: routed.arrived,
             attempts,
             choice: answered.choice.clone(),
             context: context.clone(),
-            edition: known.fleet.edition.number,
+            edition: snapshot.fleet.edition.number,
             head_ms: context.clock.now().since(routed.arrived),
             outcome: Outcome::Left,
             placed_ms: answered.sent.since(routed.arrived),
             request: routed.facts.id.clone(),
             service: routed.service.clone(),
             status: answered.status().as_u16(),
-            table: known.index.table().version,
+            table: snapshot.index.table().version,
             workspace: routed.workspace.as_ref().map(|w| w.name.clone()),
         }
     }
--- a/crates/hibiscushoistd/src/gateway_place.rs
+++ b/crates/hibiscushoistd/src/gateway_place.rs
@@ -8,7 +8,7 @@
 use crate::gateway::Routed;
 use crate::gateway_attempt;
 use crate::gateway_run::Progress;
-use crate::outlook::Known;
+use crate::routing_snapshot::Snapshot;
 use coordination::assignment::Request;
 use coordination::choice::Choice;
 use coordination::choice::Refusal;
@@ -61,14 +61,14 @@
     demand: &Demand,
 ) -> Option<Result<Choice, Refusal>> {
     demand.shared_prefix.as_ref()?;
-    let leader = gateway.outlook.leader()?;
+    let leader = gateway.routing.leader()?;
     let pool = context.pool.as_ref()?;
-    let known = gateway.outlook.known();
+    let snapshot = gateway.routing.latest();
     let now = context.clock.now();
     let ask = Request {
         unusable: gateway
             .dispatch()
-            .unusable(now, &known.fleet, &demand.service),
+            .unusable(now, &snapshot.fleet, &demand.service),
         demand: demand.clone(),
     };
     let client = pool.client(leader, None);
@@ -101,9 +101,9 @@
     progress: &Progress,
 ) -> bool {
     let demand = demand(context, gateway, routed, progress);
-    let known = gateway.outlook.known();
+    let snapshot = gateway.routing.latest();
     let now = context.clock.now();
-    gateway.dispatch().can_place(now, &known.fleet, &demand)
+    gateway.dispatch().can_place(now, &snapshot.fleet, &demand)
 }
 
 /// Returns whether a request may wait for room any longer.
@@ -113,11 +113,11 @@
 }
 
 fn demand(context: &Context, gateway: &Gateway, routed: &Routed, progress: &Progress) -> Demand {
-    let known = gateway.outlook.known();
-    let service = known.index.service(&routed.service);
+    let snapshot = gateway.routing.latest();
+    let service = snapshot.index.service(&routed.service);
     let engine = service.is_some_and(|service| service.engine);
     let model = routed.facts.model.clone().filter(|_| engine);
-    let newest = model.as_ref().and_then(|model| known.weights.get(model));
+    let newest = model.as_ref().and_then(|model| snapshot.weights.get(model));
     let now = context.clock.now();
     let waited = now.since(routed.arrived);
     let shared_prefix = shared(routed).filter(|_| progress.exact_weights.is_none());
@@ -138,7 +138,7 @@
         prompt_tokens: routed.facts.prompt_tokens,
         service: routed.service.clone(),
         shared_prefix,
-        stores: stores(&known),
+        stores: stores(&snapshot),
         tried: progress.tried.clone(),
         isolated_workspace: routed
             .workspace
@@ -149,8 +149,8 @@
 }
 
 /// Returns the stores of cached prompts.
-fn stores(known: &Known) -> Vec<SocketAddr> {
-    let services = known.index.table().services.iter();
+fn stores(snapshot: &Snapshot) -> Vec<SocketAddr> {
+    let services = snapshot.index.table().services.iter();
     let stores = services.filter_map(|service| service.store.as_ref());
     stores.map(|store| store.address).collect()
 }
@@ -166,7 +166,7 @@
 }
 
 fn choose(context: &Context, gateway: &Gateway, demand: &Demand) -> Result<Choice, Refusal> {
-    let known = gateway.outlook.known();
+    let snapshot = gateway.routing.latest();
     let now = context.clock.now();
-    gateway.dispatch().choose(now, &known.fleet, demand)
+    gateway.dispatch().choose(now, &snapshot.fleet, demand)
 }
--- a/crates/hibiscushoistd/src/outlook.rs
+++ b/crates/hibiscushoistd/src/routing_snapshot.rs
@@ -35,7 +35,7 @@
 
 /// Holds what this host knows.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct Snapshot {
     /// Lists the upstreams.
     pub fleet: Arc<Fleet>,
     /// Holds the routed table.
@@ -48,20 +48,20 @@
 #[derive(Clone)]
 pub struct Handle {
     freshness: Arc<Mutex<Freshness>>,
-    known: watch::Receiver<Arc<Known>>,
+    snapshot: watch::Receiver<Arc<Snapshot>>,
     leader: watch::Receiver<Option<SocketAddr>>,
 }
 
 impl Handle {
     /// Returns what this host knows, where it is young enough to rely on.
-    pub fn get(&self, context: &Context) -> Option<Arc<Known>> {
+    pub fn fresh(&self, context: &Context) -> Option<Arc<Snapshot>> {
         let freshness = *self
             .freshness
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let known = self.known.borrow().clone();
-        let usable = freshness.is_fresh(context.clock.now()) && known.index.table().version > 0;
-        usable.then_some(known)
+        let snapshot = self.snapshot.borrow().clone();
+        let usable = freshness.is_fresh(context.clock.now()) && snapshot.index.table().version > 0;
+        usable.then_some(snapshot)
     }
 
     /// Returns the age of what this host knows, in milliseconds.
@@ -79,43 +79,43 @@
     }
 
     /// Returns what this host knows, however old it is.
-    pub fn known(&self) -> Arc<Known> {
-        self.known.borrow().clone()
+    pub fn latest(&self) -> Arc<Snapshot> {
+        self.snapshot.borrow().clone()
     }
 
     /// Returns what this host knows and its later versions.
-    pub fn watch(&self) -> watch::Receiver<Arc<Known>> {
-        self.known.clone()
+    pub fn subscribe(&self) -> watch::Receiver<Arc<Snapshot>> {
+        self.snapshot.clone()
     }
 }
 
 /// Returns a handle that shows nothing until [`Keeper::run`] has asked.
-pub fn channel(limit: Duration) -> (Keeper, Handle) {
-    let (publish, known) = watch::channel(Arc::default());
+pub fn channel(limit: Duration) -> (Updater, Handle) {
+    let (publish, snapshot) = watch::channel(Arc::default());
     let (lead, leader) = watch::channel(None);
     let limit = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
     let freshness = Arc::new(Mutex::new(Freshness::new(limit)));
     let handle = Handle {
         freshness: freshness.clone(),
-        known,
+        snapshot,
         leader,
     };
-    let keeper = Keeper {
+    let updater = Updater {
         freshness,
         lead,
         publish,
     };
-    (keeper, handle)
+    (updater, handle)
 }
 
 /// Asks the voter that leads, again and again.
-pub struct Keeper {
+pub struct Updater {
     freshness: Arc<Mutex<Freshness>>,
     lead: watch::Sender<Option<SocketAddr>>,
-    publish: watch::Sender<Arc<Known>>,
+    publish: watch::Sender<Arc<Snapshot>>,
 }
 
-impl Keeper {
+impl Updater {
     /// Asks until the task is dropped.
     pub async fn run(self, context: Arc<Context>) {
         let mut heard = Position::default();
@@ -159,7 +159,7 @@
         heard: &mut Position,
     ) -> Result<(), Option<SocketAddr>> {
         let pool = context.pool.as_ref().ok_or(None)?;
-        let known = self.publish.borrow().clone();
+        let snapshot = self.publish.borrow().clone();
         let asked = context.clock.now();
         let shared = context.gateway.as_ref().map(|gateway| {
             let mut dispatch = gateway.dispatch();
@@ -171,19 +171,19 @@
         });
         let (assignment_ids, loads, cached_prefixes) = shared.unwrap_or_default();
         let ask = Request {
-            edition: known.fleet.edition,
+            edition: snapshot.fleet.edition,
             assignment_ids,
             prefix_position: *heard,
             host: context.settings.name.clone(),
             loads,
             cached_prefixes,
-            table_version: known.index.table().version,
+            table_version: snapshot.index.table().version,
         };
         let client = pool.client(target, None);
         let call = client.call(CALL_LIMIT, |peer, call| async move {
             peer.routing_update(call, ask).await
         });
-        let mut outlook = match call.await {
+        let mut update = match call.await {
             Err(error) => {
                 metrics::counter!(metric::OUTLOOK_FAILURES).increment(1);
                 let details = slog::o!("voter" => target.to_string(), "error" => error.to_string());
@@ -192,21 +192,21 @@
             }
             Ok(Err(Rejection::NotLeader(leader))) => return Err(leader),
             Ok(Err(_)) => return Err(None),
-            Ok(Ok(outlook)) => outlook,
+            Ok(Ok(update)) => update,
         };
         if let Some(gateway) = &context.gateway {
             let now = context.clock.now();
-            let loads = std::mem::take(&mut outlook.loads);
-            let cached_prefixes = std::mem::take(&mut outlook.cached_prefixes);
+            let loads = std::mem::take(&mut update.loads);
+            let cached_prefixes = std::mem::take(&mut update.cached_prefixes);
             let mut dispatch = gateway.dispatch();
             dispatch.set_other_loads(now, loads);
             dispatch.record_remote_prefixes(now, cached_prefixes);
-            if heard.term != outlook.prefix_position.term {
+            if heard.term != update.prefix_position.term {
                 dispatch.resend_prefix_updates(now);
             }
         }
-        *heard = outlook.prefix_position;
-        self.take(context, &known, outlook);
+        *heard = update.prefix_position;
+        self.take(context, &snapshot, update);
         let mut freshness = self
             .freshness
             .lock()
@@ -215,24 +215,27 @@
         Ok(())
     }
 
-    fn take(&self, context: &Context, known: &Known, outlook: RoutingUpdate) {
+    fn take(&self, context: &Context, snapshot: &Snapshot, update: RoutingUpdate) {
         let newer = |table: &Arc<_>| {
             let table: &Arc<state::routing::Table> = table;
-            table.version > known.index.table().version
+            table.version > snapshot.index.table().version
         };
-        let table = outlook.table.filter(newer);
-        let fleet = outlook.fleet.filter(|f| f.edition > known.fleet.edition);
-        if table.is_none() && fleet.is_none() && outlook.weights == known.weights {
+        let table = update.table.filter(newer);
+        let fleet = update.fleet.filter(|f| f.edition > snapshot.fleet.edition);
+        if table.is_none() && fleet.is_none() && update.weights == snapshot.weights {
             return;
         }
         if let Some(table) = &table {
             let details = slog::o!("version" => table.version, "routes" => table.routes.len());
             event::emit(&context.log, Event::RoutesApplied, details);
         }
-        self.publish.send_replace(Arc::new(Known {
-            fleet: fleet.map_or_else(|| known.fleet.clone(), Arc::new),
-            index: table.map_or_else(|| known.index.clone(), |t| Arc::new(RoutingIndex::new(t))),
-            weights: outlook.weights,
+        self.publish.send_replace(Arc::new(Snapshot {
+            fleet: fleet.map_or_else(|| snapshot.fleet.clone(), Arc::new),
+            index: table.map_or_else(
+                || snapshot.index.clone(),
+                |t| Arc::new(RoutingIndex::new(t)),
+            ),
+            weights: update.weights,
         }));
     }
 }
