--- a/crates/hibiscushoistd/src/daemon.rs
+++ b/crates/hibiscushoistd/src/daemon.rs
@@ -24,20 +24,20 @@
 use crate::context::Context;
 use crate::context::Shared;
 use crate::controller;
-use crate::edge;
 use crate::feed;
 use crate::gateway;
 use crate::gateway::Gateway;
 use crate::health::Health;
 use crate::journal::Journal;
 use crate::links::Links;
-use crate::listeners::Bound;
+use crate::listeners::BoundAddresses;
 use crate::listeners::Listeners;
 use crate::load;
 use crate::member;
 use crate::owner::Owners;
 use crate::peer;
 use crate::platform;
+use crate::platform_api;
 use crate::routes;
 use crate::routing_snapshot;
 use crate::settings::Entry;
@@ -85,7 +85,7 @@
 
 /// Runs a daemon until it is told to stop.
 pub struct Daemon {
-    bound: Bound,
+    bound: BoundAddresses,
     context: Arc<Context>,
     drain: watch::Sender<bool>,
     feeds: JoinHandle<()>,
@@ -218,7 +218,7 @@
     }
 
     /// Returns the addresses for routed services.
-    pub fn bound(&self) -> &Bound {
+    pub fn bound(&self) -> &BoundAddresses {
         &self.bound
     }
 
@@ -365,10 +365,10 @@
         open.push((listener, "routed", gateway::answer));
     }
     if let Some(listener) = listeners.readiness {
-        open.push((listener, "readiness", edge::readiness));
+        open.push((listener, "readiness", platform_api::answer_readiness));
     }
     for listener in listeners.control {
-        open.push((listener, "control", edge::control));
+        open.push((listener, "control", platform_api::answer_control));
     }
     let serve = |(listener, path, endpoint)| {
         let server = server(context, entry, routes::whole(path, endpoint));
--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -18,7 +18,7 @@
 use crate::answer::Failure;
 use crate::caller as answers;
 use crate::context::Context;
-use crate::gateway_run;
+use crate::gateway_retry;
 use crate::request::Request;
 use crate::routing_snapshot;
 use crate::routing_snapshot::Snapshot;
@@ -56,34 +56,38 @@
 /// Holds what routed requests share on this host.
 pub struct Gateway {
     /// Chooses upstreams.
-    pub dispatch: Mutex<Dispatcher>,
+    pub dispatcher: Mutex<Dispatcher>,
     /// Holds the connections to upstreams.
     pub lanes: Lanes,
     /// Shows what this host knows.
     pub routing: routing_snapshot::Handle,
     /// Bounds requests that go to a second upstream.
-    pub retries: Mutex<RetryBudgets>,
+    pub retry_budgets: Mutex<RetryBudgets>,
 }
 
 impl Gateway {
     /// Returns a gateway that has sent nothing.
     pub fn new(routing: routing_snapshot::Handle) -> Self {
         Self {
-            dispatch: Mutex::new(Dispatcher::new(rand::random())),
+            dispatcher: Mutex::new(Dispatcher::new(rand::random())),
             lanes: Lanes::default(),
             routing,
-            retries: Mutex::new(RetryBudgets::new(budget(0, 0, 1), rand::random())),
+            retry_budgets: Mutex::new(RetryBudgets::new(budget(0, 0, 1), rand::random())),
         }
     }
 
     /// Returns the chooser of upstreams.
-    pub fn dispatch(&self) -> MutexGuard<'_, Dispatcher> {
-        self.dispatch.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
+        self.dispatcher
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the budget of retries.
-    pub fn retries(&self) -> MutexGuard<'_, RetryBudgets> {
-        self.retries.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn retry_budgets(&self) -> MutexGuard<'_, RetryBudgets> {
+        self.retry_budgets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Keeps connections, budgets and what was seen in step with the fleet, until the task is
@@ -97,7 +101,7 @@
                 changed = view.changed() => if changed.is_err() { return; },
             }
             let fleet = snapshot.borrow_and_update().fleet.clone();
-            self.dispatch().sync(&fleet);
+            self.dispatcher().sync(&fleet);
             let addresses: Vec<_> = fleet.upstreams.iter().map(|u| u.address).collect();
             self.lanes.retain(&addresses);
             let seen = view.borrow_and_update().clone();
@@ -105,7 +109,7 @@
             let hosts = hosts.count().max(1) as u64;
             if let Some(settings) = &context.settings.gateway {
                 let policy = budget(settings.retry_percent, settings.retry_slack, hosts);
-                self.retries().set_policy(policy);
+                self.retry_budgets().set_policy(policy);
             }
         }
     }
@@ -128,7 +132,7 @@
 }
 
 /// Holds a routed request that may be sent.
-pub struct Routed {
+pub struct RoutedRequest {
     /// Gives the time of its arrival.
     pub arrived: Instant,
     /// Holds the body.
@@ -153,7 +157,7 @@
     pub workspace: Option<Workspace>,
 }
 
-impl Routed {
+impl RoutedRequest {
     /// Returns the time left, in milliseconds.
     pub fn left_ms(&self, now: Instant) -> u64 {
         self.deadline.since(now)
@@ -170,7 +174,7 @@
         let id = facts.id.clone();
         match accept(&context, &gateway, request, facts).await {
             Err(failure) => refuse(&id, failure),
-            Ok(routed) => match gateway_run::run(&context, &gateway, routed).await {
+            Ok(routed) => match gateway_retry::run(&context, &gateway, routed).await {
                 Err(failure) => refuse(&id, failure),
                 Ok(response) => response,
             },
@@ -185,7 +189,7 @@
     gateway: &Gateway,
     mut request: Request,
     facts: Facts,
-) -> Result<Routed, Failure> {
+) -> Result<RoutedRequest, Failure> {
     let arrived = context.clock.now();
     let snapshot = gateway.routing.fresh(context).ok_or_else(|| {
         let age = gateway.routing.age_ms(context);
@@ -222,7 +226,7 @@
         .as_ref()
         .map_or(0, |entry| entry.body_limit);
     let body = request.read(limit, Duration::from_millis(patience)).await;
-    Ok(Routed {
+    Ok(RoutedRequest {
         arrived,
         body: body.map_err(Failure::before_run)?,
         deadline,
--- a/crates/hibiscushoistd/src/gateway_account.rs
+++ b/crates/hibiscushoistd/src/gateway_answer_log.rs
@@ -7,8 +7,8 @@
 
 use crate::context::Context;
 use crate::gateway::Gateway;
-use crate::gateway::Routed;
-use crate::gateway_attempt::Answered;
+use crate::gateway::RoutedRequest;
+use crate::gateway_attempt::UpstreamAnswer;
 use coordination::choice::Choice;
 use state::time::Instant;
 use transport::event;
@@ -29,7 +29,7 @@
 }
 
 /// Logs how the answer to a request ended once it is dropped.
-pub struct Account {
+pub struct AnswerLog {
     age_ms: Option<u64>,
     arrived: Instant,
     attempts: u32,
@@ -46,14 +46,14 @@
     workspace: Option<String>,
 }
 
-impl Account {
+impl AnswerLog {
     /// Opens the account of a request whose answer begins; until it is told otherwise, the caller
     /// is held to have left.
-    pub fn open(
+    pub fn start(
         context: &Arc<Context>,
         gateway: &Gateway,
-        routed: &Routed,
-        answered: &Answered,
+        routed: &RoutedRequest,
+        answered: &UpstreamAnswer,
         attempts: u32,
     ) -> Self {
         let snapshot = gateway.routing.latest();
@@ -76,18 +76,18 @@
     }
 
     /// Notes that another upstream goes on with the answer.
-    pub fn resumed(&mut self, answered: &Answered) {
+    pub fn record_resumption(&mut self, answered: &UpstreamAnswer) {
         self.attempts += 1;
         self.choice.clone_from(&answered.choice);
     }
 
     /// Notes how the answer ended.
-    pub fn end(&mut self, outcome: Outcome) {
+    pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
 
-impl Drop for Account {
+impl Drop for AnswerLog {
     fn drop(&mut self) {
         let details = slog::o!(
             "request" => std::mem::take(&mut self.request),
--- a/crates/hibiscushoistd/src/gateway_attempt.rs
+++ b/crates/hibiscushoistd/src/gateway_attempt.rs
@@ -13,9 +13,9 @@
 
 use crate::context::Context;
 use crate::gateway::Gateway;
-use crate::gateway::Routed;
-use crate::gateway_run::Progress;
-use crate::gateway_run::may_move;
+use crate::gateway::RoutedRequest;
+use crate::gateway_retry::Progress;
+use crate::gateway_retry::may_move;
 use coordination::choice::Choice;
 use coordination::demand::Demand;
 use coordination::dispatch::InFlight;
@@ -40,29 +40,29 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// Keeps a request noted as under way until it is dropped.
-pub struct Underway {
+pub struct InFlightGuard {
     gateway: Arc<Gateway>,
     /// Names the request to the dispatch.
     pub run: InFlight,
 }
 
-impl Underway {
+impl InFlightGuard {
     /// Returns what has seen the request.
     pub fn gateway(&self) -> &Arc<Gateway> {
         &self.gateway
     }
 }
 
-impl Drop for Underway {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.gateway.dispatch().record_end(&self.run);
+        self.gateway.dispatcher().record_end(&self.run);
     }
 }
 
 /// Tells how an attempt went.
 pub enum Attempt {
     /// Means that the upstream answered for the request.
-    Answered(Box<Answered>),
+    Answered(Box<UpstreamAnswer>),
     /// Means that no answer came that counts.
     Failed {
         /// Tells whether the request may have run.
@@ -75,7 +75,7 @@
 }
 
 /// Holds the answer of an upstream whose body is still to come.
-pub struct Answered {
+pub struct UpstreamAnswer {
     /// Tells where the request went and what that was chosen by.
     pub choice: Choice,
     facts: Facts,
@@ -84,10 +84,10 @@
     /// Gives when the request was sent.
     pub sent: Instant,
     /// Keeps the request noted as under way.
-    pub underway: Underway,
+    pub in_flight: InFlightGuard,
 }
 
-impl Answered {
+impl UpstreamAnswer {
     /// Returns the head of the answer as the caller gets it.
     pub fn returned_head(&self) -> http::response::Parts {
         let mut response = Response::new(());
@@ -97,9 +97,9 @@
     }
 
     /// Returns the body with its connection, how long that may be kept, and the request under way.
-    pub fn into_stream(self) -> (Incoming, Lane, Option<Duration>, Underway) {
+    pub fn into_stream(self) -> (Incoming, Lane, Option<Duration>, InFlightGuard) {
         let keep = keep(&self.facts);
-        (self.response.into_body(), self.lane, keep, self.underway)
+        (self.response.into_body(), self.lane, keep, self.in_flight)
     }
 
     /// Returns the status of the answer.
@@ -108,13 +108,13 @@
     }
 
     /// Returns whether the answer is a stream of events.
-    pub fn is_stream(&self, routed: &Routed) -> bool {
+    pub fn is_stream(&self, routed: &RoutedRequest) -> bool {
         routed.route.kind == Kind::Stream && self.response.status().is_success()
     }
 
     /// Returns whether the stream may go on at another upstream; one of a stated length may not,
     /// since its bytes are counted.
-    pub fn is_resumable(&self, routed: &Routed) -> bool {
+    pub fn is_resumable(&self, routed: &RoutedRequest) -> bool {
         let counted = self.response.headers().contains_key(CONTENT_LENGTH);
         routed.route.resumable && !counted
     }
@@ -125,7 +125,7 @@
 pub async fn attempt(
     context: &Context,
     gateway: &Arc<Gateway>,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &Progress,
     demand: &Demand,
     choice: &Choice,
@@ -135,8 +135,8 @@
     let Some(request) = request(routed, headers) else {
         return Attempt::Rejected;
     };
-    let run = gateway.dispatch().record_sent(begun, choice, demand);
-    let mut underway = Underway {
+    let run = gateway.dispatcher().record_sent(begun, choice, demand);
+    let mut in_flight = InFlightGuard {
         gateway: gateway.clone(),
         run,
     };
@@ -144,9 +144,9 @@
     let sending = gateway.lanes.send(address, request, limits(routed));
     let sent = tokio::select! {
         sent = sending => sent,
-        reason = given_up(context, routed, progress, choice, &underway) => {
+        reason = given_up(context, routed, progress, choice, &in_flight) => {
             if reason == retry::Reason::Idle {
-                gateway.dispatch().record_failure(context.clock.now(), &underway.run);
+                gateway.dispatcher().record_failure(context.clock.now(), &in_flight.run);
             }
             return Attempt::Failed { may_have_run: true, reason };
         }
@@ -154,7 +154,7 @@
     let now = context.clock.now();
     let (response, lane) = match sent {
         Err(error) => {
-            gateway.dispatch().record_failure(now, &underway.run);
+            gateway.dispatcher().record_failure(now, &in_flight.run);
             let reason = match error.not_sent() {
                 false => retry::Reason::Cut,
                 true => retry::Reason::Connect,
@@ -174,38 +174,38 @@
             reason: retry::Reason::Crossed,
         };
     }
-    let mut dispatch = gateway.dispatch();
-    dispatch.record_answer_head(now, &mut underway.run);
+    let mut dispatcher = gateway.dispatcher();
+    dispatcher.record_answer_head(now, &mut in_flight.run);
     if let Some((model, version)) = demand.model.as_ref().zip(facts.weights) {
-        dispatch.record_weights(&underway.run, model.clone(), version);
+        dispatcher.record_weights(&in_flight.run, model.clone(), version);
     }
     if facts.not_run {
-        dispatch.record_refusal(now, &underway.run);
+        dispatcher.record_refusal(now, &in_flight.run);
         return Attempt::Rejected;
     }
     if !facts.stamped {
-        dispatch.record_failure(now, &underway.run);
+        dispatcher.record_failure(now, &in_flight.run);
         return Attempt::Failed {
             may_have_run: true,
             reason: retry::Reason::Format,
         };
     }
     if response.status().is_success() {
-        dispatch.record_prefill(now, &mut underway.run);
+        dispatcher.record_prefill(now, &mut in_flight.run);
     }
-    drop(dispatch);
-    Attempt::Answered(Box::new(Answered {
+    drop(dispatcher);
+    Attempt::Answered(Box::new(UpstreamAnswer {
         choice: choice.clone(),
         facts,
         lane,
         response,
         sent: begun,
-        underway,
+        in_flight,
     }))
 }
 
 /// Returns the bounds of a request's connection.
-pub fn limits(routed: &Routed) -> lane::Limits {
+pub fn limits(routed: &RoutedRequest) -> lane::Limits {
     lane::Limits {
         connect: CONNECT,
         idle: match routed.route.is_repeatable() {
@@ -219,10 +219,10 @@
 /// has fallen silent and another takes it.
 async fn given_up(
     context: &Context,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &Progress,
     choice: &Choice,
-    underway: &Underway,
+    in_flight: &InFlightGuard,
 ) -> retry::Reason {
     loop {
         let left = routed.left_ms(context.clock.now());
@@ -231,11 +231,11 @@
         }
         tokio::time::sleep(LOOK.min(Duration::from_millis(left))).await;
         let now = context.clock.now();
-        let silent = underway
+        let silent = in_flight
             .gateway
-            .dispatch()
-            .is_unresponsive(now, &underway.run);
-        let (gateway, upstream) = (underway.gateway(), &choice.upstream.id);
+            .dispatcher()
+            .is_unresponsive(now, &in_flight.run);
+        let (gateway, upstream) = (in_flight.gateway(), &choice.upstream.id);
         if silent
             && routed.route.is_repeatable()
             && may_move(context, gateway, routed, progress, upstream)
@@ -245,7 +245,7 @@
     }
 }
 
-fn request(routed: &Routed, headers: HeaderMap) -> Option<hyper::Request<lane::Body>> {
+fn request(routed: &RoutedRequest, headers: HeaderMap) -> Option<hyper::Request<lane::Body>> {
     let mut request = hyper::Request::new(Full::new(routed.body.clone()));
     *request.method_mut() = routed.method.clone();
     let path = routed.uri.path_and_query()?.as_str();
@@ -254,7 +254,7 @@
     Some(request)
 }
 
-fn forward(routed: &Routed, choice: &Choice, left_ms: u64) -> Forward {
+fn forward(routed: &RoutedRequest, choice: &Choice, left_ms: u64) -> Forward {
     let workspace = routed.workspace.as_ref();
     let salt = choice.weights.map(|version| {
         let isolated = workspace.filter(|workspace| workspace.isolated);
--- a/crates/hibiscushoistd/src/gateway_body.rs
+++ b/crates/hibiscushoistd/src/gateway_body.rs
@@ -16,52 +16,52 @@
 use tokio::time::Sleep;
 
 use crate::context::Context;
-use crate::gateway_account::Account;
-use crate::gateway_account::Outcome;
-use crate::gateway_attempt::Answered;
-use crate::gateway_attempt::Underway;
+use crate::gateway_answer_log::AnswerLog;
+use crate::gateway_answer_log::Outcome;
+use crate::gateway_attempt::InFlightGuard;
+use crate::gateway_attempt::UpstreamAnswer;
 use state::time::Instant;
 use transport::lane::Lane;
 
 /// Passes the body of an answer on.
-pub struct Pass {
-    account: Account,
+pub struct ForwardedBody {
+    answer_log: AnswerLog,
     context: Arc<Context>,
     body: Incoming,
     end: Option<(Lane, Option<Duration>)>,
     late: Pin<Box<Sleep>>,
-    underway: Underway,
+    in_flight: InFlightGuard,
 }
 
-impl Pass {
+impl ForwardedBody {
     /// Returns the body of an answer, which ends with an error at `deadline`.
     pub fn new(
         context: &Arc<Context>,
-        answered: Answered,
+        answered: UpstreamAnswer,
         deadline: Instant,
-        account: Account,
+        answer_log: AnswerLog,
     ) -> Self {
         let left = deadline.since(context.clock.now());
-        let (body, lane, keep, underway) = answered.into_stream();
+        let (body, lane, keep, in_flight) = answered.into_stream();
         Self {
-            account,
+            answer_log,
             context: context.clone(),
             body,
             end: Some((lane, keep)),
             late: Box::pin(tokio::time::sleep(Duration::from_millis(left))),
-            underway,
+            in_flight,
         }
     }
 
     fn complete(&mut self) {
-        self.account.end(Outcome::Whole);
+        self.answer_log.set_outcome(Outcome::Whole);
         if let Some((lane, Some(idle))) = self.end.take() {
             tokio::spawn(lane.keep(idle));
         }
     }
 }
 
-impl Body for Pass {
+impl Body for ForwardedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -70,7 +70,7 @@
         task: &mut Task<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         if self.late.poll_unpin(task).is_ready() {
-            self.account.end(Outcome::Deadline);
+            self.answer_log.set_outcome(Outcome::Deadline);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
         match Pin::new(&mut self.body).poll_frame(task) {
@@ -81,15 +81,17 @@
             }
             Poll::Ready(Some(Err(error))) => {
                 let now = self.context.clock.now();
-                let gateway = self.underway.gateway().clone();
-                gateway.dispatch().record_failure(now, &self.underway.run);
-                self.account.end(Outcome::Cut);
+                let gateway = self.in_flight.gateway().clone();
+                gateway
+                    .dispatcher()
+                    .record_failure(now, &self.in_flight.run);
+                self.answer_log.set_outcome(Outcome::Cut);
                 Poll::Ready(Some(Err(io::Error::other(error))))
             }
             Poll::Ready(Some(Ok(frame))) => {
                 let now = self.context.clock.now();
-                let gateway = self.underway.gateway().clone();
-                gateway.dispatch().record_byte(now, &self.underway.run);
+                let gateway = self.in_flight.gateway().clone();
+                gateway.dispatcher().record_byte(now, &self.in_flight.run);
                 if self.body.is_end_stream() {
                     self.complete();
                 }
--- a/crates/hibiscushoistd/src/gateway_place.rs
+++ b/crates/hibiscushoistd/src/gateway_placement.rs
@@ -5,9 +5,9 @@
 
 use crate::context::Context;
 use crate::gateway::Gateway;
-use crate::gateway::Routed;
+use crate::gateway::RoutedRequest;
 use crate::gateway_attempt;
-use crate::gateway_run::Progress;
+use crate::gateway_retry::Progress;
 use crate::routing_snapshot::Snapshot;
 use coordination::assignment::Request;
 use coordination::choice::Choice;
@@ -35,7 +35,7 @@
 pub async fn place(
     context: &Context,
     gateway: &Gateway,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &Progress,
 ) -> Result<(Demand, Choice), Refusal> {
     loop {
@@ -67,7 +67,7 @@
     let now = context.clock.now();
     let ask = Request {
         unusable: gateway
-            .dispatch()
+            .dispatcher()
             .unusable(now, &snapshot.fleet, &demand.service),
         demand: demand.clone(),
     };
@@ -97,22 +97,29 @@
 pub fn is_offered(
     context: &Context,
     gateway: &Gateway,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &Progress,
 ) -> bool {
     let demand = demand(context, gateway, routed, progress);
     let snapshot = gateway.routing.latest();
     let now = context.clock.now();
-    gateway.dispatch().can_place(now, &snapshot.fleet, &demand)
+    gateway
+        .dispatcher()
+        .can_place(now, &snapshot.fleet, &demand)
 }
 
 /// Returns whether a request may wait for room any longer.
-fn waits(context: &Context, routed: &Routed) -> bool {
+fn waits(context: &Context, routed: &RoutedRequest) -> bool {
     let waited = context.clock.now().since(routed.arrived);
     waited < routed.route.first_byte_goal_ms * WAIT_GOALS
 }
 
-fn demand(context: &Context, gateway: &Gateway, routed: &Routed, progress: &Progress) -> Demand {
+fn demand(
+    context: &Context,
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    progress: &Progress,
+) -> Demand {
     let snapshot = gateway.routing.latest();
     let service = snapshot.index.service(&routed.service);
     let engine = service.is_some_and(|service| service.engine);
@@ -157,7 +164,7 @@
 
 /// Returns the last part of the prompt that other requests share and the tokens up to its end; the
 /// very last part belongs to the request itself.
-fn shared(routed: &Routed) -> Option<(String, u64)> {
+fn shared(routed: &RoutedRequest) -> Option<(String, u64)> {
     let parts = &routed.facts.parts;
     let (_, shared) = parts.split_last()?;
     let last = shared.last()?;
@@ -168,5 +175,5 @@
 fn choose(context: &Context, gateway: &Gateway, demand: &Demand) -> Result<Choice, Refusal> {
     let snapshot = gateway.routing.latest();
     let now = context.clock.now();
-    gateway.dispatch().choose(now, &snapshot.fleet, demand)
+    gateway.dispatcher().choose(now, &snapshot.fleet, demand)
 }
--- a/crates/hibiscushoistd/src/gateway_run.rs
+++ b/crates/hibiscushoistd/src/gateway_retry.rs
@@ -13,16 +13,16 @@
 use crate::answer::Failure;
 use crate::context::Context;
 use crate::gateway::Gateway;
-use crate::gateway::Routed;
+use crate::gateway::RoutedRequest;
 use crate::gateway::later;
-use crate::gateway_account::Account;
-use crate::gateway_account::Outcome;
-use crate::gateway_attempt::Answered;
+use crate::gateway_answer_log::AnswerLog;
+use crate::gateway_answer_log::Outcome;
 use crate::gateway_attempt::Attempt;
+use crate::gateway_attempt::UpstreamAnswer;
 use crate::gateway_attempt::attempt;
 use crate::gateway_body;
-use crate::gateway_place;
-use crate::gateway_place::place;
+use crate::gateway_placement;
+use crate::gateway_placement::place;
 use crate::gateway_stream;
 use coordination::choice::Choice;
 use coordination::choice::Refusal;
@@ -66,39 +66,41 @@
 pub async fn run(
     context: &Arc<Context>,
     gateway: &Arc<Gateway>,
-    routed: Routed,
+    routed: RoutedRequest,
 ) -> Result<Response<Body>, Failure> {
     let mut progress = Progress::default();
     let now = context.clock.now();
-    gateway
-        .retries()
-        .record_first_attempt(now, routed.service.clone(), routed.service.clone());
+    gateway.retry_budgets().record_first_attempt(
+        now,
+        routed.service.clone(),
+        routed.service.clone(),
+    );
     loop {
         let answered = answered(context, gateway, &routed, &mut progress).await?;
         let attempts = progress.attempts + 1;
-        let mut account = Account::open(context, gateway, &routed, &answered, attempts);
+        let mut answer_log = AnswerLog::start(context, gateway, &routed, &answered, attempts);
         if answered.is_stream(&routed) {
             return Ok(match answered.is_resumable(&routed) {
-                false => passed(context, &routed, answered, account),
+                false => passed(context, &routed, answered, answer_log),
                 true => {
-                    gateway_stream::start(context, gateway, routed, progress, answered, account)
+                    gateway_stream::start(context, gateway, routed, progress, answered, answer_log)
                 }
             });
         }
         let upstream = answered.choice.upstream.id.clone();
         match whole(context, &routed, answered).await {
             Ok(response) => {
-                account.end(Outcome::Whole);
+                answer_log.set_outcome(Outcome::Whole);
                 return Ok(response);
             }
             Err(reason) => {
-                account.end(Outcome::Cut);
-                let missed = Missed {
+                answer_log.set_outcome(Outcome::Cut);
+                let failed_attempt = FailedAttempt {
                     may_have_run: true,
                     reason,
                     upstream,
                 };
-                failed(context, gateway, &routed, &mut progress, missed)?;
+                failed(context, gateway, &routed, &mut progress, failed_attempt)?;
             }
         }
     }
@@ -109,11 +111,11 @@
 pub async fn resume(
     context: &Arc<Context>,
     gateway: &Arc<Gateway>,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &mut Progress,
-    missed: Missed,
-) -> Option<Answered> {
-    failed(context, gateway, routed, progress, missed).ok()?;
+    failed_attempt: FailedAttempt,
+) -> Option<UpstreamAnswer> {
+    failed(context, gateway, routed, progress, failed_attempt).ok()?;
     let next = answered(context, gateway, routed, progress).await.ok()?;
     next.is_stream(routed).then_some(next)
 }
@@ -123,7 +125,7 @@
 pub fn may_move(
     context: &Context,
     gateway: &Gateway,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &Progress,
     upstream: &str,
 ) -> bool {
@@ -132,14 +134,14 @@
     moved.tried.push(upstream.to_owned());
     progress.attempts + 1 < routed.route.attempt_limit
         && gateway
-            .retries()
+            .retry_budgets()
             .can_retry(now, &routed.service, &routed.service)
-        && gateway_place::is_offered(context, gateway, routed, &moved)
+        && gateway_placement::is_offered(context, gateway, routed, &moved)
 }
 
 /// Describes an attempt that came to nothing.
 #[derive(Clone, Debug)]
-pub struct Missed {
+pub struct FailedAttempt {
     /// Tells whether the request may have run.
     pub may_have_run: bool,
     /// Tells why.
@@ -152,9 +154,9 @@
 async fn answered(
     context: &Arc<Context>,
     gateway: &Arc<Gateway>,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &mut Progress,
-) -> Result<Answered, Failure> {
+) -> Result<UpstreamAnswer, Failure> {
     loop {
         let (demand, choice) = match place(context, gateway, routed, progress).await {
             Err(refusal) => return Err(refused(&context.log, routed, progress, refusal)),
@@ -164,8 +166,10 @@
             match attempt(context, gateway, routed, progress, &demand, &choice).await {
                 Attempt::Answered(answered) => {
                     if answered.status().is_server_error() {
-                        let run = &answered.underway.run;
-                        gateway.dispatch().record_failure(context.clock.now(), run);
+                        let run = &answered.in_flight.run;
+                        gateway
+                            .dispatcher()
+                            .record_failure(context.clock.now(), run);
                         if repeats(context, gateway, routed, progress, &choice) {
                             continue;
                         }
@@ -181,12 +185,12 @@
                     (false, retry::Reason::Refused)
                 }
             };
-        let missed = Missed {
+        let failed_attempt = FailedAttempt {
             may_have_run,
             reason,
             upstream: choice.upstream.id,
         };
-        failed(context, gateway, routed, progress, missed)?;
+        failed(context, gateway, routed, progress, failed_attempt)?;
     }
 }
 
@@ -194,15 +198,15 @@
 fn failed(
     context: &Context,
     gateway: &Gateway,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &mut Progress,
-    missed: Missed,
+    failed_attempt: FailedAttempt,
 ) -> Result<(), Failure> {
-    progress.may_have_run |= missed.may_have_run;
-    progress.attempts += u32::from(missed.may_have_run);
-    progress.tried.push(missed.upstream.clone());
-    note(context, routed, &missed);
-    again(context, gateway, routed, progress, missed.reason)
+    progress.may_have_run |= failed_attempt.may_have_run;
+    progress.attempts += u32::from(failed_attempt.may_have_run);
+    progress.tried.push(failed_attempt.upstream.clone());
+    note(context, routed, &failed_attempt);
+    again(context, gateway, routed, progress, failed_attempt.reason)
 }
 
 /// Returns whether a request that an upstream ran and failed is tried at another; where it is not,
@@ -210,16 +214,16 @@
 fn repeats(
     context: &Context,
     gateway: &Gateway,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &mut Progress,
     choice: &Choice,
 ) -> bool {
-    let missed = Missed {
+    let failed_attempt = FailedAttempt {
         may_have_run: true,
         reason: retry::Reason::Status,
         upstream: choice.upstream.id.clone(),
     };
-    let again = failed(context, gateway, routed, progress, missed);
+    let again = failed(context, gateway, routed, progress, failed_attempt);
     routed.route.is_repeatable() && again.is_ok()
 }
 
@@ -227,7 +231,7 @@
 fn again(
     context: &Context,
     gateway: &Gateway,
-    routed: &Routed,
+    routed: &RoutedRequest,
     progress: &Progress,
     reason: retry::Reason,
 ) -> Result<(), Failure> {
@@ -247,7 +251,7 @@
     if unsent && !progress.may_have_run && context.clock.now() < routed.deadline {
         return Ok(());
     }
-    let asked = gateway.retries().try_retry(context.clock.now(), &ask);
+    let asked = gateway.retry_budgets().try_retry(context.clock.now(), &ask);
     match asked {
         Err(denial) => {
             let denial: &'static str = denial.into();
@@ -262,7 +266,7 @@
     }
 }
 
-fn failure(routed: &Routed, context: &Context, progress: &Progress) -> Failure {
+fn failure(routed: &RoutedRequest, context: &Context, progress: &Progress) -> Failure {
     if !progress.may_have_run {
         return later(Reason::Overloaded, REJECTED_MS);
     }
@@ -277,7 +281,7 @@
     }
 }
 
-fn refused(log: &Logger, routed: &Routed, progress: &Progress, refusal: Refusal) -> Failure {
+fn refused(log: &Logger, routed: &RoutedRequest, progress: &Progress, refusal: Refusal) -> Failure {
     let details = slog::o!(
         "request" => routed.facts.id.clone(),
         "service" => routed.service.clone(),
@@ -301,13 +305,13 @@
     }
 }
 
-fn note(context: &Context, routed: &Routed, missed: &Missed) {
+fn note(context: &Context, routed: &RoutedRequest, failed_attempt: &FailedAttempt) {
     let details = slog::o!(
         "request" => routed.facts.id.clone(),
         "service" => routed.service.clone(),
-        "upstream" => missed.upstream.clone(),
-        "reason" => missed.reason.to_string(),
-        "may_have_run" => missed.may_have_run,
+        "upstream" => failed_attempt.upstream.clone(),
+        "reason" => failed_attempt.reason.to_string(),
+        "may_have_run" => failed_attempt.may_have_run,
         "left_ms" => routed.left_ms(context.clock.now()),
     );
     event::emit(&context.log, Event::AttemptFailed, details);
@@ -316,25 +320,25 @@
 /// Passes a stream on as it arrives.
 fn passed(
     context: &Arc<Context>,
-    routed: &Routed,
-    answered: Answered,
-    account: Account,
+    routed: &RoutedRequest,
+    answered: UpstreamAnswer,
+    answer_log: AnswerLog,
 ) -> Response<Body> {
     let head = answered.returned_head();
-    let gateway = answered.underway.gateway().clone();
-    gateway.dispatch().record_success(&answered.underway.run);
-    let body = gateway_body::Pass::new(context, answered, routed.deadline, account);
+    let gateway = answered.in_flight.gateway().clone();
+    gateway.dispatcher().record_success(&answered.in_flight.run);
+    let body = gateway_body::ForwardedBody::new(context, answered, routed.deadline, answer_log);
     Response::from_parts(head, Body::new(body))
 }
 
 /// Reads an answer whole before it is passed on, so that one that breaks off can still fail.
 async fn whole(
     context: &Context,
-    routed: &Routed,
-    answered: Answered,
+    routed: &RoutedRequest,
+    answered: UpstreamAnswer,
 ) -> Result<Response<Body>, retry::Reason> {
     let head = answered.returned_head();
-    let (body, lane, keep, underway) = answered.into_stream();
+    let (body, lane, keep, in_flight) = answered.into_stream();
     let left = Duration::from_millis(routed.left_ms(context.clock.now()));
     let collected = Limited::new(body, WHOLE_BYTES).collect();
     let whole: Bytes = match tokio::time::timeout(left, collected).await {
@@ -343,7 +347,10 @@
         Ok(Ok(whole)) => whole.to_bytes(),
     };
     if !head.status.is_server_error() {
-        underway.gateway().dispatch().record_success(&underway.run);
+        in_flight
+            .gateway()
+            .dispatcher()
+            .record_success(&in_flight.run);
     }
     if let Some(idle) = keep {
         tokio::spawn(lane.keep(idle));
--- a/crates/hibiscushoistd/src/gateway_stream.rs
+++ b/crates/hibiscushoistd/src/gateway_stream.rs
@@ -19,14 +19,14 @@
 
 use crate::context::Context;
 use crate::gateway::Gateway;
-use crate::gateway::Routed;
-use crate::gateway_account::Account;
-use crate::gateway_account::Outcome;
-use crate::gateway_attempt::Answered;
-use crate::gateway_run;
-use crate::gateway_run::Missed;
-use crate::gateway_run::Progress;
-use crate::gateway_run::may_move;
+use crate::gateway::RoutedRequest;
+use crate::gateway_answer_log::AnswerLog;
+use crate::gateway_answer_log::Outcome;
+use crate::gateway_attempt::UpstreamAnswer;
+use crate::gateway_retry;
+use crate::gateway_retry::FailedAttempt;
+use crate::gateway_retry::Progress;
+use crate::gateway_retry::may_move;
 use coordination::retry::Reason;
 use protocol::event_stream::Splitter;
 use transport::event;
@@ -58,11 +58,11 @@
 }
 
 struct Pump {
-    account: Account,
+    answer_log: AnswerLog,
     caller: mpsc::Sender<Part>,
     context: Arc<Context>,
     gateway: Arc<Gateway>,
-    routed: Routed,
+    routed: RoutedRequest,
     splitter: Splitter,
     until: Instant,
 }
@@ -71,16 +71,16 @@
 pub fn start(
     context: &Arc<Context>,
     gateway: &Arc<Gateway>,
-    routed: Routed,
+    routed: RoutedRequest,
     progress: Progress,
-    answered: Answered,
-    account: Account,
+    answered: UpstreamAnswer,
+    answer_log: AnswerLog,
 ) -> Response<Body> {
     let (caller, parts) = mpsc::channel::<Part>(WAITING);
     let left = Duration::from_millis(routed.left_ms(context.clock.now()));
     let head = answered.returned_head();
     let pump = Pump {
-        account,
+        answer_log,
         caller,
         context: context.clone(),
         gateway: gateway.clone(),
@@ -97,27 +97,32 @@
 }
 
 impl Pump {
-    async fn run(mut self, mut progress: Progress, mut answered: Answered) {
+    async fn run(mut self, mut progress: Progress, mut answered: UpstreamAnswer) {
         let weights = answered.choice.weights;
         loop {
             let upstream = answered.choice.upstream.id.clone();
             progress.exact_weights = weights;
             let reason = match self.pass(&progress, answered).await {
                 End::Caller => return self.give_up(Outcome::Left).await,
-                End::Complete => return self.account.end(Outcome::Whole),
+                End::Complete => return self.answer_log.set_outcome(Outcome::Whole),
                 End::Deadline => return self.give_up(Outcome::Deadline).await,
                 End::Broken(reason) => reason,
             };
             self.splitter.restart();
             self.routed.resume_after = self.splitter.last();
-            let missed = Missed {
+            let failed_attempt = FailedAttempt {
                 may_have_run: true,
                 reason,
                 upstream,
             };
             let (context, gateway) = (&self.context, &self.gateway);
-            let resumed =
-                gateway_run::resume(context, gateway, &self.routed, &mut progress, missed);
+            let resumed = gateway_retry::resume(
+                context,
+                gateway,
+                &self.routed,
+                &mut progress,
+                failed_attempt,
+            );
             let next = tokio::select! {
                 next = resumed => next,
                 () = self.caller.closed() => return,
@@ -133,20 +138,20 @@
                 None => return self.give_up(Outcome::Cut).await,
                 Some(next) => next,
             };
-            self.account.resumed(&answered);
+            self.answer_log.record_resumption(&answered);
         }
     }
 
     /// Ends the caller's connection without an end mark, so that the answer does not look complete.
     async fn give_up(&mut self, outcome: Outcome) {
-        self.account.end(outcome);
+        self.answer_log.set_outcome(outcome);
         let error = io::Error::from(io::ErrorKind::UnexpectedEof);
         let _ = self.caller.send(Err(error)).await;
     }
 
-    async fn pass(&mut self, progress: &Progress, answered: Answered) -> End {
+    async fn pass(&mut self, progress: &Progress, answered: UpstreamAnswer) -> End {
         let upstream = answered.choice.upstream.id.clone();
-        let (mut body, lane, keep, underway) = answered.into_stream();
+        let (mut body, lane, keep, in_flight) = answered.into_stream();
         let gap = Duration::from_millis(self.routed.route.max_event_gap_ms);
         let silent = SILENT.max(gap * SILENT_GAPS);
         let mut pause = silent;
@@ -160,7 +165,7 @@
                         continue;
                     }
                     let now = context.clock.now();
-                    gateway.dispatch().record_failure(now, &underway.run);
+                    gateway.dispatcher().record_failure(now, &in_flight.run);
                     return End::Broken(Reason::Idle);
                 }
                 () = sleep_until(self.until) => return End::Deadline,
@@ -170,7 +175,7 @@
             let now = self.context.clock.now();
             let bytes = match frame {
                 None => {
-                    self.gateway.dispatch().record_success(&underway.run);
+                    self.gateway.dispatcher().record_success(&in_flight.run);
                     let rest = self.splitter.finish();
                     if let Some(idle) = keep {
                         tokio::spawn(lane.keep(idle));
@@ -181,12 +186,14 @@
                     };
                 }
                 Some(Err(_)) => {
-                    self.gateway.dispatch().record_failure(now, &underway.run);
+                    self.gateway
+                        .dispatcher()
+                        .record_failure(now, &in_flight.run);
                     return End::Broken(Reason::Cut);
                 }
                 Some(Ok(bytes)) => bytes,
             };
-            self.gateway.dispatch().record_byte(now, &underway.run);
+            self.gateway.dispatcher().record_byte(now, &in_flight.run);
             let whole = self.splitter.push(&bytes);
             if !whole.is_empty() && !self.send(whole).await {
                 return End::Caller;
--- a/crates/hibiscushoistd/src/listeners.rs
+++ b/crates/hibiscushoistd/src/listeners.rs
@@ -23,7 +23,7 @@
 
 /// Holds the addresses for routed services as they were bound.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Bound {
+pub struct BoundAddresses {
     /// Takes the requests of callers.
     pub callers: Option<SocketAddr>,
     /// Takes the calls of operators, and of callers that ask where to connect.
@@ -47,16 +47,16 @@
             control.push(daemon::bind(*address).await?);
         }
         Ok(Self {
-            callers: some(gateway.callers).await?,
+            callers: bind_optional(gateway.callers).await?,
             control,
-            readiness: some(gateway.readiness).await?,
+            readiness: bind_optional(gateway.readiness).await?,
         })
     }
 
     /// Returns the addresses.
-    pub fn bound(&self) -> Bound {
+    pub fn bound(&self) -> BoundAddresses {
         let address = |listener: &TcpListener| listener.local_addr().ok();
-        Bound {
+        BoundAddresses {
             callers: self.callers.as_ref().and_then(address),
             control: self.control.iter().filter_map(address).collect(),
             readiness: self.readiness.as_ref().and_then(address),
@@ -64,7 +64,7 @@
     }
 }
 
-async fn some(address: Option<SocketAddr>) -> Result<Option<TcpListener>, Report<Error>> {
+async fn bind_optional(address: Option<SocketAddr>) -> Result<Option<TcpListener>, Report<Error>> {
     match address {
         None => Ok(None),
         Some(address) => Ok(Some(daemon::bind(address).await?)),
--- a/crates/hibiscushoistd/src/edge.rs
+++ b/crates/hibiscushoistd/src/platform_api.rs
@@ -26,7 +26,10 @@
 const TEXT: &str = "text/plain";
 
 /// Answers operators, and callers that ask where to connect.
-pub fn control(context: Arc<Context>, request: Request) -> BoxFuture<'static, Response<Body>> {
+pub fn answer_control(
+    context: Arc<Context>,
+    request: Request,
+) -> BoxFuture<'static, Response<Body>> {
     async move {
         let method = request.method.clone();
         match (method, request.uri.path()) {
@@ -41,7 +44,10 @@
 }
 
 /// Answers whether this host takes callers.
-pub fn readiness(context: Arc<Context>, request: Request) -> BoxFuture<'static, Response<Body>> {
+pub fn answer_readiness(
+    context: Arc<Context>,
+    request: Request,
+) -> BoxFuture<'static, Response<Body>> {
     async move {
         let gateway = context.gateway.as_ref();
         let is_fresh = gateway.is_some_and(|gateway| gateway.routing.fresh(&context).is_some());
--- a/crates/hibiscushoistd/src/routing_snapshot.rs
+++ b/crates/hibiscushoistd/src/routing_snapshot.rs
@@ -141,7 +141,7 @@
                 Err(hint) => {
                     if let Some(gateway) = &context.gateway {
                         gateway
-                            .dispatch()
+                            .dispatcher()
                             .resend_prefix_updates(context.clock.now());
                     }
                     leader = hint.filter(|hint| *hint != target);
@@ -162,11 +162,11 @@
         let snapshot = self.publish.borrow().clone();
         let asked = context.clock.now();
         let shared = context.gateway.as_ref().map(|gateway| {
-            let mut dispatch = gateway.dispatch();
+            let mut dispatcher = gateway.dispatcher();
             (
-                dispatch.take_assignment_ids(),
-                dispatch.loads(asked),
-                dispatch.take_prefix_updates(asked),
+                dispatcher.take_assignment_ids(),
+                dispatcher.loads(asked),
+                dispatcher.take_prefix_updates(asked),
             )
         });
         let (assignment_ids, loads, cached_prefixes) = shared.unwrap_or_default();
@@ -198,11 +198,11 @@
             let now = context.clock.now();
             let loads = std::mem::take(&mut update.loads);
             let cached_prefixes = std::mem::take(&mut update.cached_prefixes);
-            let mut dispatch = gateway.dispatch();
-            dispatch.set_other_loads(now, loads);
-            dispatch.record_remote_prefixes(now, cached_prefixes);
+            let mut dispatcher = gateway.dispatcher();
+            dispatcher.set_other_loads(now, loads);
+            dispatcher.record_remote_prefixes(now, cached_prefixes);
             if heard.term != update.prefix_position.term {
-                dispatch.resend_prefix_updates(now);
+                dispatcher.resend_prefix_updates(now);
             }
         }
         *heard = update.prefix_position;
--- a/crates/hibiscushoistd/tests/standin/mod.rs
+++ b/crates/hibiscushoistd/tests/fakes/mod.rs
@@ -36,7 +36,7 @@
 
 /// Tells an upstream how to behave.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Manner {
+pub enum Behavior {
     /// Answers for another request.
     Crossed,
     /// Breaks off in the middle of the answer.
@@ -44,14 +44,14 @@
     /// Answers with a failure of its own.
     Failing,
     /// Never answers.
-    Mute,
+    Hanging,
     /// Pauses in the middle of the answer for longer than a stream that may move is waited for.
     Pausing,
     /// Refuses without running.
     Rejecting,
     /// Answers.
     #[default]
-    Sound,
+    Working,
 }
 
 /// Describes a request as an upstream received it.
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 struct Shared {
     dropped: u32,
-    manner: Manner,
+    behavior: Behavior,
     orders: Vec<Value>,
     received: Vec<Received>,
     version: u64,
@@ -99,8 +99,8 @@
         }
     }
 
-    pub fn behave(&self, manner: Manner) {
-        self.shared.lock().unwrap().manner = manner;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.shared.lock().unwrap().behavior = behavior;
     }
 
     /// Returns the requests that arrived, other than those about the upstream itself.
@@ -209,14 +209,14 @@
         return whole(421, String::new());
     }
     let request_id = text("x-request-id").unwrap_or_default().to_owned();
-    let manner = {
+    let behavior = {
         let mut shared = shared.lock().unwrap();
         shared.received.push(Received {
             body,
             headers: head.headers.clone(),
             path,
         });
-        shared.manner
+        shared.behavior
     };
     let streams = head.uri.path().starts_with("/stream/");
     let after = text("last-event-id").and_then(|id| id.parse().ok());
@@ -225,29 +225,29 @@
         answered: false,
         shared,
     };
-    let mut response = match manner {
-        Manner::Crossed => whole(200, "answer".to_owned()),
-        Manner::Cut if streams => parts(200, vec![Ok(events(after, after + 2)), Err(())]),
-        Manner::Cut => parts(200, vec![Ok("ans".to_owned()), Err(())]),
-        Manner::Failing => whole(500, "failure".to_owned()),
-        Manner::Mute => {
+    let mut response = match behavior {
+        Behavior::Crossed => whole(200, "answer".to_owned()),
+        Behavior::Cut if streams => parts(200, vec![Ok(events(after, after + 2)), Err(())]),
+        Behavior::Cut => parts(200, vec![Ok("ans".to_owned()), Err(())]),
+        Behavior::Failing => whole(500, "failure".to_owned()),
+        Behavior::Hanging => {
             tokio::time::sleep(Duration::from_secs(60)).await;
             whole(200, "late".to_owned())
         }
-        Manner::Pausing => pausing(after),
-        Manner::Rejecting => whole(503, String::new()),
-        Manner::Sound if streams => whole(200, events(after, EVENTS)),
-        Manner::Sound => whole(200, format!("answer of {id}")),
+        Behavior::Pausing => pausing(after),
+        Behavior::Rejecting => whole(503, String::new()),
+        Behavior::Working if streams => whole(200, events(after, EVENTS)),
+        Behavior::Working => whole(200, format!("answer of {id}")),
     };
     watch.answered = true;
     let headers = response.headers_mut();
-    let echoed = match manner {
-        Manner::Crossed => "another".to_owned(),
+    let echoed = match behavior {
+        Behavior::Crossed => "another".to_owned(),
         _ => request_id,
     };
     headers.insert("x-request-id", echoed.parse().unwrap());
-    match manner {
-        Manner::Rejecting => headers.insert("x-not-executed", "1".parse().unwrap()),
+    match behavior {
+        Behavior::Rejecting => headers.insert("x-not-executed", "1".parse().unwrap()),
         _ => headers.insert("x-server-stamp", "stamp".parse().unwrap()),
     };
     response
--- a/crates/hibiscushoistd/tests/routed.rs
+++ b/crates/hibiscushoistd/tests/routed.rs
@@ -1,6 +1,6 @@
 //! Routed requests from the caller's connection to the upstream's and back, in one process.
 
-mod standin;
+mod fakes;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 use tokio::sync::oneshot;
 
 use coordination::drain;
+use fakes::Behavior;
+use fakes::Upstream;
 use hibiscushoistd::daemon::Daemon;
 use hibiscushoistd::settings::Settings;
-use standin::Manner;
-use standin::Upstream;
 use transport::log;
 
 /// Bounds every wait of the tests; nothing is measured against it.
@@ -75,7 +75,7 @@
 async fn upstreams(service: &str) -> (Upstream, Upstream, SocketAddr) {
     let first = Upstream::start("i-1", service).await;
     let second = Upstream::start("i-2", service).await;
-    let list = standin::list(vec![first.clone(), second.clone()]).await;
+    let list = fakes::list(vec![first.clone(), second.clone()]).await;
     (first, second, list)
 }
 
@@ -285,9 +285,9 @@
             .await
     }
 
-    fn both(&self, manner: Manner) {
-        self.first.behave(manner);
-        self.second.behave(manner);
+    fn both(&self, behavior: Behavior) {
+        self.first.set_behavior(behavior);
+        self.second.set_behavior(behavior);
     }
 
     /// Returns each upstream beside the other one and its name, since requests stay with the one to
@@ -380,8 +380,8 @@
 async fn an_order_that_one_upstream_rejects_runs_at_the_other_once() {
     let bench = Bench::serving("desk").await;
     for (bad, sound, id) in bench.in_turn() {
-        bad.behave(Manner::Rejecting);
-        sound.behave(Manner::Sound);
+        bad.set_behavior(Behavior::Rejecting);
+        sound.set_behavior(Behavior::Working);
         let path = format!("/order/{id}");
         for _ in 0..10 {
             let answer = bench.send(&path, "k1").await;
@@ -395,7 +395,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_that_all_upstreams_reject_may_come_back() {
     let bench = Bench::serving("desk").await;
-    bench.both(Manner::Rejecting);
+    bench.both(Behavior::Rejecting);
     let answer = bench.send("/order/x", "k1").await;
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
@@ -404,11 +404,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_whose_outcome_is_unknown_is_not_sent_again() {
     let bench = Bench::serving("desk").await;
-    for manner in [Manner::Cut, Manner::Crossed] {
+    for behavior in [Behavior::Cut, Behavior::Crossed] {
         let before = bench.arrivals("/order/x");
-        bench.both(manner);
-        assert_eq!(bench.send("/order/x", "k1").await.status, 502, "{manner:?}");
-        assert_eq!(bench.arrivals("/order/x"), before + 1, "{manner:?}");
+        bench.both(behavior);
+        assert_eq!(
+            bench.send("/order/x", "k1").await.status,
+            502,
+            "{behavior:?}"
+        );
+        assert_eq!(bench.arrivals("/order/x"), before + 1, "{behavior:?}");
     }
 }
 
@@ -416,12 +420,17 @@
 async fn a_read_that_broke_off_is_answered_by_the_other_upstream() {
     let bench = Bench::serving("desk").await;
     for (bad, sound, id) in bench.in_turn() {
-        sound.behave(Manner::Sound);
-        for manner in [Manner::Cut, Manner::Crossed, Manner::Failing, Manner::Mute] {
-            bad.behave(manner);
+        sound.set_behavior(Behavior::Working);
+        for behavior in [
+            Behavior::Cut,
+            Behavior::Crossed,
+            Behavior::Failing,
+            Behavior::Hanging,
+        ] {
+            bad.set_behavior(behavior);
             let answer = bench.send("/read/x", "k1").await;
             let expected = format!("answer of {id}");
-            assert_eq!(answer.body.unwrap(), expected, "{manner:?}");
+            assert_eq!(answer.body.unwrap(), expected, "{behavior:?}");
         }
     }
 }
@@ -429,7 +438,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_failure_of_an_upstream_reaches_the_caller_unchanged() {
     let bench = Bench::serving("desk").await;
-    bench.both(Manner::Failing);
+    bench.both(Behavior::Failing);
     let answer = bench.send("/order/x", "k1").await;
     assert_eq!(
         (answer.status, answer.body.unwrap()),
@@ -441,7 +450,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_breaks_off_does_not_look_complete() {
     let bench = Bench::serving("engines").await;
-    bench.both(Manner::Cut);
+    bench.both(Behavior::Cut);
     let answer = bench.send("/stream/x", "k1").await;
     assert!(answer.body.is_err() || answer.status == 502);
 }
@@ -451,11 +460,11 @@
     let bench = Bench::serving("engines").await;
     let (first, second) = (&bench.first, &bench.second);
     for (cut, sound, id) in bench.in_turn() {
-        cut.behave(Manner::Cut);
-        sound.behave(Manner::Sound);
+        cut.set_behavior(Behavior::Cut);
+        sound.set_behavior(Behavior::Working);
         for place in 0..6 {
             let answer = bench.send(&format!("/stream/{id}/{place}"), "k1").await;
-            let whole = standin::events(0, standin::EVENTS);
+            let whole = fakes::events(0, fakes::EVENTS);
             assert_eq!(answer.body.expect("the stream ends"), whole);
         }
     }
@@ -472,9 +481,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_pauses_is_waited_for_where_it_may_not_go_on_elsewhere() {
     let bench = Bench::serving("engines").await;
-    bench.both(Manner::Pausing);
+    bench.both(Behavior::Pausing);
     let answer = bench.send("/once/x", "k1").await;
-    let whole = standin::events(0, standin::EVENTS);
+    let whole = fakes::events(0, fakes::EVENTS);
     assert_eq!(answer.body.expect("the stream ends"), whole);
     assert_eq!(bench.arrivals("/once/x"), 1);
 }
@@ -482,9 +491,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_pauses_goes_on_at_another_upstream_that_takes_it() {
     let bench = Bench::serving("engines").await;
-    bench.both(Manner::Pausing);
+    bench.both(Behavior::Pausing);
     let answer = bench.send("/stream/x", "k1").await;
-    let whole = standin::events(0, standin::EVENTS);
+    let whole = fakes::events(0, fakes::EVENTS);
     assert_eq!(answer.body.expect("the stream ends"), whole);
     assert_eq!(bench.arrivals("/stream/x"), 2);
 }
@@ -492,7 +501,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstream_stops_when_the_caller_leaves() {
     let bench = Bench::serving("desk").await;
-    bench.both(Manner::Mute);
+    bench.both(Behavior::Hanging);
     let leaving = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
     let request = leaving.request(bench.request("/order/x", "k1"));
     let gone = tokio::time::timeout(Duration::from_millis(300), request).await;
@@ -584,7 +593,7 @@
     let refused = endless().await;
     assert!(refused.headers.contains_key("retry-after"));
     let short = bench.send("/stream/x", "k1").await;
-    let whole = standin::events(0, standin::EVENTS);
+    let whole = fakes::events(0, fakes::EVENTS);
     assert_eq!(short.body.expect("the stream ends"), whole);
     forced.send(()).unwrap();
     assert_eq!(drained.await.unwrap(), drain::Outcome::Forced);
