--- a/crates/coordination/tests/raft_sim/mod.rs
+++ b/crates/coordination/tests/raft_sim/mod.rs
@@ -404,8 +404,8 @@
         }
         if changes.is_empty() {
             let own = |id: &MemberId| self.hosts.iter().any(|host| host.disk.identity == *id);
-            let gone = members.keys().find(|id| !own(id));
-            changes.extend(gone.map(|id| Change::Remove(*id)));
+            let removed = members.keys().find(|id| !own(id));
+            changes.extend(removed.map(|id| Change::Remove(*id)));
         }
         if let Some(change) = changes.into_iter().next() {
             self.step(leader, Event::Change(Token(0), change));
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -87,8 +87,8 @@
         None
     );
     let all = members(&[0, 1, 2, 3]);
-    let gone = Some(MemberId(2));
-    assert_eq!(voters::removable_voter(&all, &view, TARGET_VOTERS), gone);
+    let removed = Some(MemberId(2));
+    assert_eq!(voters::removable_voter(&all, &view, TARGET_VOTERS), removed);
     assert!(voters::replacement_hosts(&all, &view, TARGET_VOTERS).is_empty());
 }
 
@@ -99,8 +99,8 @@
     view.hosts[2] = host(2, Standing::Suspect, false);
     assert_eq!(replacements(&view), [name(3)]);
     let all = members(&[0, 1, 2, 3]);
-    let gone = Some(MemberId(2));
-    assert_eq!(voters::removable_voter(&all, &view, TARGET_VOTERS), gone);
+    let removed = Some(MemberId(2));
+    assert_eq!(voters::removable_voter(&all, &view, TARGET_VOTERS), removed);
     let mut alone = healthy_view(&[0, 1, 2]);
     alone.hosts[2] = host(2, Standing::Suspect, false);
     assert!(replacements(&alone).is_empty());
