--- a/crates/protocol/src/block.rs
+++ b/crates/protocol/src/block.rs
@@ -1,4 +1,4 @@
-//! Writes the key of a cached block as 32 hexadecimal digits, and reads it back.
+//! Text format of block hashes: 32 hexadecimal digits.
 
 use serde::Deserialize;
 use serde::Deserializer;
@@ -9,37 +9,37 @@
 
 const DIGITS: usize = 32;
 
-/// Returns `block` as text.
+/// Returns `block` as 32 lower-case hexadecimal digits.
 pub fn format(block: BlockHash) -> String {
     format!("{:032x}", block.0)
 }
 
-/// Returns the block that `text` names.
+/// Parses 32 hexadecimal digits.
 pub fn parse(text: &str) -> Option<BlockHash> {
     let plain = text.len() == DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
     plain.then(|| u128::from_str_radix(text, 16).ok().map(BlockHash))?
 }
 
-/// Writes a block in a field marked `#[serde(with = "block")]`.
+/// Serializes a field marked `#[serde(with = "block")]`.
 ///
 /// # Errors
 ///
-/// Passes on the serialiser's error.
+/// Returns the serializer's error.
 pub fn serialize<S: Serializer>(block: &BlockHash, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(&format(*block))
 }
 
-/// Reads a block in a field marked `#[serde(with = "block")]`.
+/// Deserializes a field marked `#[serde(with = "block")]`.
 ///
 /// # Errors
 ///
-/// Returns an error for a text of another form.
+/// Returns an error if a text is not 32 hexadecimal digits.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<BlockHash, D::Error> {
     let text = String::deserialize(deserializer)?;
     parse(&text).ok_or_else(|| D::Error::custom("a block is 32 hexadecimal digits"))
 }
 
-/// Reads and writes an absent block as null.
+/// Serialization of an optional block, with null if it is absent.
 pub mod option {
     use serde::Deserialize;
     use serde::Deserializer;
@@ -49,11 +49,11 @@
 
     use state::ident::BlockHash;
 
-    /// Writes a block or null.
+    /// Serializes a block or null.
     ///
     /// # Errors
     ///
-    /// Passes on the serialiser's error.
+    /// Returns the serializer's error.
     pub fn serialize<S: Serializer>(
         block: &Option<BlockHash>,
         serializer: S,
@@ -61,11 +61,11 @@
         block.map(super::format).serialize(serializer)
     }
 
-    /// Reads a block or null.
+    /// Deserializes a block or null.
     ///
     /// # Errors
     ///
-    /// Returns an error for a text of another form.
+    /// Returns an error if a text is not 32 hexadecimal digits.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Option<BlockHash>, D::Error> {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads and writes a list of blocks.
+/// Serialization of a list of blocks.
 pub mod list {
     use serde::Deserialize;
     use serde::Deserializer;
@@ -88,11 +88,11 @@
 
     use state::ident::BlockHash;
 
-    /// Writes a list of blocks.
+    /// Serializes a list of blocks.
     ///
     /// # Errors
     ///
-    /// Passes on the serialiser's error.
+    /// Returns the serializer's error.
     pub fn serialize<S: Serializer>(
         blocks: &[BlockHash],
         serializer: S,
@@ -100,11 +100,11 @@
         serializer.collect_seq(blocks.iter().map(|b| super::format(*b)))
     }
 
-    /// Reads a list of blocks.
+    /// Deserializes a list of blocks.
     ///
     /// # Errors
     ///
-    /// Returns an error for a text of another form.
+    /// Returns an error if a text is not 32 hexadecimal digits.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Vec<BlockHash>, D::Error> {
--- a/crates/protocol/src/completion.rs
+++ b/crates/protocol/src/completion.rs
@@ -1,49 +1,49 @@
-//! The OpenAI wire format for completions, as far as the daemon reads it.
+//! The part of the OpenAI wire format for completions that the daemon reads.
 
 use serde::Deserialize;
 use serde::Serialize;
 use serde_json::Map;
 use serde_json::Value;
 
-/// Bounds the tokens of an answer where the caller names no bound.
+/// Most tokens of an answer if the request sets no limit.
 pub const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// Asks for the continuation of a prompt or of a conversation.
+/// Request to continue a prompt or a conversation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Request {
-    /// Bounds the answer, in tokens.
+    /// Most tokens of the answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
-    /// Holds the conversation of a chat request.
+    /// The conversation of a chat request.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub messages: Vec<Message>,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Holds the prompt of a plain request.
+    /// The prompt of a request without chat.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prompt: Option<String>,
-    /// Asks for the answer in pieces.
+    /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Names the caller within its workspace.
+    /// Name of the caller within its workspace.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub user: Option<String>,
-    /// Holds every other field, passed on unread.
+    /// All other fields, passed on unchanged.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
 
-/// Holds one turn of a conversation.
+/// One turn of a conversation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Message {
-    /// Holds the text of the turn.
+    /// Text of the turn.
     pub content: String,
-    /// Names the speaker.
+    /// Role of the speaker, such as `user` or `assistant`.
     pub role: String,
 }
 
 impl Request {
-    /// Returns the text that an engine caches by prefix.
+    /// Returns the prompt, or the conversation as one text; engines cache its prefixes.
     pub fn text(&self) -> String {
         if let Some(prompt) = &self.prompt {
             return prompt.clone();
@@ -53,68 +53,68 @@
     }
 }
 
-/// Holds one piece of a streamed answer, or a whole one.
+/// A chunk of a streamed answer, or a whole answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Completion {
-    /// Holds the alternatives; the daemon asks for one.
+    /// Alternative answers; the daemon asks for one.
     pub choices: Vec<Choice>,
-    /// Names the request.
+    /// Identifier of the request.
     pub id: String,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Names the type of the object.
+    /// Type of the object, such as `chat.completion.chunk`.
     pub object: String,
-    /// Counts the tokens; a streamed answer holds it in its last piece.
+    /// Token counts; in a streamed answer only its last chunk has them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// Counts the tokens of a request and its answer.
+/// Token counts of a request and its answer.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
-    /// Counts the tokens of the answer.
+    /// Number of tokens of the answer.
     pub completion_tokens: u64,
-    /// Counts the tokens of the prompt, as far as the daemon can tell from its length.
+    /// Number of tokens of the prompt, estimated from its length.
     pub prompt_tokens: u64,
-    /// Tells more of the prompt.
+    /// Details of the prompt's tokens.
     #[serde(default)]
     pub prompt_tokens_details: PromptTokensDetails,
-    /// Counts both.
+    /// Number of tokens of the prompt and the answer.
     pub total_tokens: u64,
 }
 
-/// Tells more of the tokens of a prompt.
+/// Details of the tokens of a prompt.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PromptTokensDetails {
-    /// Counts the tokens that the engine held in its cache.
+    /// Number of tokens that were in the engine's cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
 
-/// Holds one alternative of an answer.
+/// One of the alternative answers.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Choice {
-    /// Holds the next text of a streamed chat answer.
+    /// The next text of a streamed chat answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
-    /// Tells why the answer ended.
+    /// Why the answer ended.
     #[serde(default)]
     pub finish_reason: Option<String>,
-    /// Numbers the alternative.
+    /// Index of the alternative.
     #[serde(default)]
     pub index: u32,
-    /// Holds the whole turn of a chat answer.
+    /// The whole turn of a chat answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub message: Option<Message>,
-    /// Holds the text of a plain answer.
+    /// The text of an answer without chat.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
 }
 
-/// Holds the next text of a streamed chat answer.
+/// The next text of a streamed chat answer.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Delta {
-    /// Holds the text.
+    /// The text.
     #[serde(default)]
     pub content: String,
 }
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -1,6 +1,6 @@
 //! The HTTP contract of a model engine.
 //!
-//! Only this module and `transport::upstream` know the format; docs/CONTRACTS.md describes it.
+//! Only this module and `transport::upstream` depend on the format; docs/CONTRACTS.md describes it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,99 +16,99 @@
 use state::ident::BlockHash;
 use state::ident::Incarnation;
 
-/// Names the path that completes a prompt.
+/// Path for the completion of a prompt.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Names the path that stops a completion.
+/// Path for stopping a completion.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Names the path that lists changes of the cache.
+/// Path of the list of cache changes.
 pub const CACHE_EVENTS_PATH: &str = "/v1/cache/events";
-/// Names the path that lists the whole cache.
+/// Path of the list of all cached blocks.
 pub const CACHE_SNAPSHOT_PATH: &str = "/v1/cache/snapshot";
-/// Names the path that reports load.
+/// Path of the load report.
 pub const LOAD_PATH: &str = "/v1/load";
-/// Names the path that takes and reports orders.
+/// Path for giving orders to the engine and reading its state.
 pub const ORDERS_PATH: &str = "/v1/orders";
-/// Names the path that writes blocks to the kept-KV store.
+/// Path for writing blocks from the engine to the KV store.
 pub const KV_EXPORT_PATH: &str = "/v1/kv/export";
-/// Names the path that reads blocks from the kept-KV store.
+/// Path for reading blocks from the KV store into the engine.
 pub const KV_IMPORT_PATH: &str = "/v1/kv/import";
 
-/// Names the header with the engine's incarnation, present in every answer.
+/// Response header with the engine's incarnation, present in every response.
 pub const INCARNATION_HEADER: &str = "x-incarnation";
-/// Names the header with the weights version, present in every answer.
+/// Response header with the weights version, present in every response.
 pub const WEIGHTS_VERSION_HEADER: &str = "x-weights-version";
-/// Closes a stream that is whole.
+/// Data of the last event of a stream that is complete.
 pub const DONE_MARKER: &str = "[DONE]";
 
-/// Asks for the continuation of a prompt; the answer is a stream of [`Piece`]s.
+/// Request to continue a prompt; the answer is a stream of [`Piece`]s.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Request {
-    /// Tells the engine what it may reuse and how to name what it keeps.
+    /// Cached blocks that the engine may reuse, and the names under which it caches new ones.
     pub cache: Cache,
-    /// Names the attempt; each piece repeats it.
+    /// Identifier of the attempt; each piece repeats it.
     pub id: String,
-    /// Bounds the whole answer, in tokens, those before `resume` included.
+    /// Most tokens of the whole answer, including those of `resume`.
     pub max_tokens: u64,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Orders waiting requests; the least number runs first, and 0 is urgent.
+    /// Priority among waiting requests; the lowest number runs first, and 0 is urgent.
     pub priority: u8,
-    /// Holds the text to continue.
+    /// Text to continue.
     pub prompt: String,
-    /// Holds the part of the answer that the caller already has.
+    /// Part of the answer that the caller already has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<Resume>,
-    /// Holds the caller's other fields, passed on unread.
+    /// The caller's other fields, passed on unchanged.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
 
-/// Tells the engine what it may reuse and how to name what it keeps.
+/// Cached blocks that the engine may reuse, and the names under which it caches new ones.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Cache {
-    /// Gives the length of the prompt that each block covers, in bytes.
+    /// Bytes of the prompt that each block covers.
     pub block_bytes: u64,
-    /// Names the prompt's blocks in order; events and snapshots repeat these names.
+    /// Hashes of the prompt's blocks in order; events and snapshots name blocks by them.
     #[serde(with = "block::list")]
     pub blocks: Vec<BlockHash>,
-    /// Separates the caches of workspaces.
+    /// Salt that keeps the caches of workspaces apart.
     pub salt: String,
 }
 
-/// Holds the part of an answer that the caller already has.
+/// The part of an answer that the caller already has.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Resume {
-    /// Gives the count of tokens in `text`.
+    /// Number of tokens in `text`.
     pub offset: u64,
-    /// Holds the text.
+    /// Text of that part.
     pub text: String,
 }
 
-/// Holds consecutive tokens of an answer.
+/// A chunk of a streamed answer: consecutive tokens.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Piece {
-    /// Tells why the answer ended, in its last piece.
+    /// Reason why the answer ended, in its last piece.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish: Option<Finish>,
-    /// Repeats the name of the attempt.
+    /// Identifier of the attempt.
     pub id: String,
-    /// Gives the offset of the first token of this piece within the answer.
+    /// Offset of the first token of this piece within the answer.
     pub offset: u64,
-    /// Holds the text of the tokens.
+    /// Text of the tokens.
     pub text: String,
-    /// Counts the tokens.
+    /// Number of tokens in this piece.
     pub tokens: u64,
-    /// Tells what the prompt cost, in the first piece.
+    /// Blocks of the prompt, in the first piece.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// Tells what a prompt cost.
+/// How much of a prompt was found in the cache.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
-    /// Counts the blocks of the prompt that were found in the cache.
+    /// Number of blocks of the prompt that were found in the cache.
     pub cached_blocks: u64,
-    /// Counts the blocks of the prompt.
+    /// Number of blocks of the prompt.
     pub prompt_blocks: u64,
 }
 
@@ -124,88 +124,88 @@
     }
 }
 
-/// Asks to stop an attempt.
+/// Request to stop an attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Cancel {
-    /// Names the attempt.
+    /// Identifier of the attempt.
     pub id: String,
 }
 
-/// Confirms a cancel.
+/// Response to a [`Cancel`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Cancelled {
-    /// Tells whether the attempt was known and still running.
+    /// Whether the attempt was found and still running.
     pub found: bool,
 }
 
-/// Names a change of a cache.
+/// Kind of a change of a cache.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Means that everything was dropped.
+    /// All blocks were dropped.
     Cleared,
-    /// Means that a block was dropped.
+    /// A block was dropped.
     Evicted,
-    /// Means that a block was added.
+    /// A block was added.
     Stored,
 }
 
-/// Reports one change of a cache.
+/// A change of a cache.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// Names the block, unless everything was dropped.
+    /// The block, unless all blocks were dropped.
     #[serde(
         default,
         skip_serializing_if = "Option::is_none",
         with = "block::option"
     )]
     pub block: Option<BlockHash>,
-    /// Tells what happened.
+    /// Kind of the change.
     pub change: Change,
-    /// Names the block before this one.
+    /// The block before this one in the prompt.
     #[serde(
         default,
         skip_serializing_if = "Option::is_none",
         with = "block::option"
     )]
     pub parent: Option<BlockHash>,
-    /// Numbers the changes of one incarnation from 1, without holes unless some were lost.
+    /// Sequence number, counted from 1 in each incarnation; a missing number means a lost change.
     pub seq: u64,
 }
 
-/// Lists changes of a cache in order.
+/// Changes of a cache in order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Events {
-    /// Lists the changes after the number asked for; a jump in `seq` is a gap.
+    /// The changes after the requested sequence number; a jump in `seq` is a gap.
     pub events: Vec<Event>,
-    /// Names the run of the engine that the numbers belong to.
+    /// Run of the engine that the sequence numbers belong to.
     pub incarnation: Incarnation,
-    /// Gives the number of the newest change that the engine would tell.
+    /// Sequence number of the newest change that the engine can report.
     pub newest: u64,
-    /// Names the weights version.
+    /// Weights version that the engine serves.
     pub version: String,
 }
 
-/// Lists a whole cache.
+/// The whole content of a cache.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// Lists the blocks, parents before children.
+    /// The blocks, parents before children.
     pub blocks: Vec<Entry>,
-    /// Names the run of the engine.
+    /// Run of the engine.
     pub incarnation: Incarnation,
-    /// Gives the number of the last change that the list contains.
+    /// Sequence number of the last change that the list includes.
     pub seq: u64,
-    /// Names the weights version.
+    /// Weights version that the engine serves.
     pub version: String,
 }
 
-/// Lists one block of a cache.
+/// A block of a cache.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
-    /// Names the block.
+    /// The block.
     #[serde(with = "block")]
     pub block: BlockHash,
-    /// Names the block before this one.
+    /// The block before this one in the prompt.
     #[serde(
         default,
         skip_serializing_if = "Option::is_none",
@@ -214,134 +214,135 @@
     pub parent: Option<BlockHash>,
 }
 
-/// Reports the load of an engine as it was a while ago.
+/// Load of an engine, as of `age_ms` before the report was sent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Load {
-    /// Gives the age of the report when it was sent, in milliseconds.
+    /// Age of the report when it was sent, in milliseconds.
     pub age_ms: u64,
-    /// Gives the length of the prompt that each block covers, in bytes.
+    /// Bytes of the prompt that each block covers.
     pub block_bytes: u64,
-    /// Counts the blocks that the cache can hold.
+    /// Number of blocks that the cache can hold.
     pub blocks_capacity: u64,
-    /// Counts the blocks that the cache holds.
+    /// Number of blocks that the cache holds.
     pub blocks_used: u64,
-    /// Names the run of the engine.
+    /// Run of the engine.
     pub incarnation: Incarnation,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Gives the prompt tokens computed in a second.
+    /// Prompt tokens computed per second.
     pub prefill_rate: u64,
-    /// Counts the prompt tokens of background requests not yet computed.
+    /// Number of prompt tokens of background requests not yet computed.
     pub queued_background_tokens: u64,
-    /// Counts the prompt tokens of urgent requests not yet computed.
+    /// Number of prompt tokens of urgent requests not yet computed.
     pub queued_urgent_tokens: u64,
-    /// Counts the requests that run.
+    /// Number of requests that run.
     pub running: u64,
-    /// Tells whether new requests are taken.
+    /// Whether new requests are taken.
     pub serving: bool,
-    /// Counts the requests that can run at once.
+    /// Number of requests that can run at once.
     pub slots: u64,
-    /// Names the weights version.
+    /// Weights version that the engine serves.
     pub version: String,
-    /// Counts the requests that wait.
+    /// Number of requests that wait.
     pub waiting: u64,
 }
 
-/// Tells an engine to change what it serves.
+/// Order to an engine to change what it serves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// Tells what to change.
+    /// The change.
     pub action: Action,
-    /// Numbers the lease of the controller that gives the order; some engines refuse an old one.
+    /// Fencing token: number of the lease of the controller that gives the order. Some engines
+    /// refuse an order with an old one.
     pub fence: u64,
-    /// Names the order.
+    /// Identifier of the order.
     pub id: String,
 }
 
-/// Tells what an engine should change.
+/// Change that an engine should make.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
     /// Loads weights and empties the cache.
     Load {
-        /// Names the adapter, if any.
+        /// Name of the adapter, if any.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         adapter: Option<String>,
-        /// Names the model.
+        /// Name of the model.
         model: String,
-        /// Names the weights version.
+        /// Weights version to load.
         version: String,
     },
-    /// Changes the role.
+    /// Changes the role to `prefill`, `decode` or `mixed`.
     Role(String),
 }
 
-/// Reports what an engine serves and which order came last.
+/// What an engine serves, and the last order that it accepted.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct State {
-    /// Names the adapter, if any.
+    /// Name of the adapter, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// Gives the highest fencing number seen, or zero.
+    /// Highest fencing token seen, or zero.
     pub fence: u64,
-    /// Names the run of the engine.
+    /// Run of the engine.
     pub incarnation: Incarnation,
-    /// Names the version being loaded, if any.
+    /// Weights version that is being loaded, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub loading: Option<String>,
-    /// Names the model.
+    /// Name of the model.
     pub model: String,
-    /// Names the last order that was accepted, if any.
+    /// Identifier of the last order that was accepted, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub order: Option<String>,
-    /// Names the role.
+    /// Role: `prefill`, `decode` or `mixed`.
     pub role: String,
-    /// Names the weights version.
+    /// Weights version that the engine serves.
     pub version: String,
 }
 
-/// Asks to move blocks between the engine and the kept-KV store.
+/// Request to copy blocks between the engine and the KV store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Transfer {
-    /// Names the blocks, parents before children.
+    /// The blocks, parents before children.
     #[serde(with = "block::list")]
     pub blocks: Vec<BlockHash>,
-    /// Separates the caches of workspaces.
+    /// Salt that keeps the caches of workspaces apart.
     pub salt: String,
-    /// Gives the IP address and port of the store.
+    /// IP address and port of the store.
     pub store: std::net::SocketAddr,
 }
 
-/// Confirms a transfer.
+/// Response to a [`Transfer`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Transferred {
-    /// Names the blocks that were moved.
+    /// The blocks that were copied.
     #[serde(with = "block::list")]
     pub blocks: Vec<BlockHash>,
 }
 
-/// Tells why an engine refused a request; a refused request had no effect.
+/// Reason why an engine refused a request; a refused request had no effect.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, IntoStaticStr, PartialEq, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Code {
-    /// Means that the request could not be read.
+    /// The request could not be read.
     BadRequest,
-    /// Means that the queue is full.
+    /// The queue is full.
     Full,
-    /// Means that weights are being loaded.
+    /// Weights are being loaded.
     Loading,
-    /// Means that an order carried an old fencing number.
+    /// An order had an old fencing token.
     StaleFence,
-    /// Means that the weight store or the kept-KV store did not answer.
+    /// The weight store or the KV store did not answer.
     Unavailable,
-    /// Means that the engine serves another model.
+    /// The engine serves another model.
     UnknownModel,
-    /// Means that nothing is served under the path.
+    /// Nothing is served under the path.
     UnknownPath,
-    /// Means that blocks of another weights version were offered.
+    /// Blocks of another weights version were offered.
     VersionMismatch,
 }
 
@@ -358,12 +359,12 @@
     }
 }
 
-/// Holds an engine's refusal.
+/// An engine's refusal.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Tells why.
+    /// Reason of the refusal.
     pub code: Code,
-    /// Gives the highest fencing number seen, where the order's was older.
+    /// Highest fencing token seen, if that of the order was older.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fence: Option<u64>,
 }
--- a/crates/protocol/src/event_stream.rs
+++ b/crates/protocol/src/event_stream.rs
@@ -1,65 +1,66 @@
-//! Splits a stream of events into whole ones, so that it can go on from another source.
+//! Splits an event stream into whole events, so that it can be resumed from another source.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Ends an event.
+/// Separator that ends an event.
 const END: &[u8] = b"\n\n";
 
-/// Passes on whole events that were not passed on before.
+/// Passes on only whole events, and each event only once.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
-    held: BytesMut,
-    last: Option<u64>,
+    buffer: BytesMut,
+    last_id: Option<u64>,
 }
 
 impl Splitter {
-    /// Returns a splitter for a stream that goes on after the event `last`.
-    pub fn new(last: Option<u64>) -> Self {
+    /// Returns a splitter for a stream that is resumed after the event with the id `last_id`.
+    pub fn new(last_id: Option<u64>) -> Self {
         Self {
-            held: BytesMut::new(),
-            last,
+            buffer: BytesMut::new(),
+            last_id,
         }
     }
 
-    /// Takes bytes of the stream and returns the events that they complete; an event that was
-    /// passed on before is left out.
+    /// Appends bytes of the stream and returns the events that they complete, without those that
+    /// were passed on before.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.held.extend_from_slice(bytes);
-        let mut whole = BytesMut::new();
-        while let Some(end) = find(&self.held) {
-            let event = self.held.split_to(end + END.len());
+        self.buffer.extend_from_slice(bytes);
+        let mut complete = BytesMut::new();
+        while let Some(end) = find_end(&self.buffer) {
+            let event = self.buffer.split_to(end + END.len());
             let id = id(&event);
-            if id.is_some() && id <= self.last {
+            if id.is_some() && id <= self.last_id {
                 continue;
             }
-            self.last = id.or(self.last);
-            whole.extend_from_slice(&event);
+            self.last_id = id.or(self.last_id);
+            complete.extend_from_slice(&event);
         }
-        whole.freeze()
+        complete.freeze()
     }
 
-    /// Forgets the part of an event that has arrived, since its source is gone.
+    /// Drops the incomplete event at the end of the buffer, because its source was lost.
     pub fn restart(&mut self) {
-        self.held.clear();
+        self.buffer.clear();
     }
 
-    /// Returns what follows the last whole event, once the stream has ended as it should.
+    /// Returns the bytes after the last whole event, for a stream that ended normally.
     pub fn finish(&mut self) -> Bytes {
-        self.held.split().freeze()
+        self.buffer.split().freeze()
     }
 
-    /// Returns the identifier of the last event that was passed on.
+    /// Returns the id of the last event that was passed on.
     pub fn last(&self) -> Option<u64> {
-        self.last
+        self.last_id
     }
 }
 
-fn find(bytes: &[u8]) -> Option<usize> {
+/// Returns the position of the first separator.
+fn find_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(END.len()).position(|window| window == END)
 }
 
-/// Returns the identifier of an event, where it has one that counts.
+/// Returns the id of an event, if it has one that is a number.
 fn id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/protocol/src/header.rs
+++ b/crates/protocol/src/header.rs
@@ -1,14 +1,14 @@
 //! Names of the HTTP headers that the daemon reads and writes.
 
-/// Carries how long an answer is worth waiting for, in milliseconds.
+/// Time within which the caller needs the answer, in milliseconds.
 pub const DEADLINE: &str = "x-deadline-ms";
-/// Carries the caller's key for a request that must run at most once.
+/// The caller's key for a request that must run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Carries the name of a row in the sheet of kinds.
+/// Kind of work: the name of a row in the sheet of kinds.
 pub const KIND: &str = "x-kind";
-/// Carries the rank, `urgent` or `background`.
+/// Rank of the request, `urgent` or `background`.
 pub const RANK: &str = "x-rank";
-/// Carries whether the answer of an order was replayed from the ledger.
+/// Whether the answer of an order was replayed from the ledger.
 pub const REPLAYED: &str = "x-replayed";
-/// Carries the identifier under which a request can be explained.
+/// Identifier of the request, under which an operator can look up how it was decided.
 pub const REQUEST_ID: &str = "x-request-id";
--- a/crates/protocol/src/kv_store.rs
+++ b/crates/protocol/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! The HTTP contract of the kept-KV store, which engines speak and the router does not.
+//! The HTTP contract between engines and the KV store; the router itself does not use it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,15 +6,15 @@
 use crate::block;
 use state::ident::BlockHash;
 
-/// Starts the path of each block; its name follows.
+/// Prefix of the path of a block; its hash follows.
 pub const BLOCKS_PATH: &str = "/v1/blocks/";
 
-/// Holds a block as an engine computed it.
+/// A block as an engine computed it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredBlock {
-    /// Holds the engine's own key of all that the content depends on.
+    /// The engine's own hash of all that the content depends on.
     #[serde(with = "block")]
     pub content: BlockHash,
-    /// Names the weights version that computed it.
+    /// Weights version that computed the block.
     pub version: String,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! Defines the messages between daemons and the formats of callers, upstreams and operators.
+//! Messages between daemons, and the wire formats of callers, upstreams and operators.
 
 pub mod address;
 pub mod block;
--- a/crates/protocol/src/operator.rs
+++ b/crates/protocol/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators send and get under `/admin/`.
+//! Requests and responses of operators under `/admin/`.
 
 use std::collections::BTreeMap;
 
@@ -15,21 +15,21 @@
 use state::sheet::Sheet;
 use state::table::Table;
 
-/// Shows one row with its cells as text.
+/// A row with its cells as text.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowView {
-    /// Holds the filled cells.
+    /// Texts of the filled cells.
     pub cells: BTreeMap<Column, String>,
-    /// Gives the table revision of the last change to the row.
+    /// Table revision of the last change to the row.
     pub revision: u64,
-    /// Names the row.
+    /// Name of the row in its sheet.
     pub row: String,
-    /// Names the sheet.
+    /// The sheet.
     pub sheet: Sheet,
 }
 
 impl RowView {
-    /// Shows `row` under `name`.
+    /// Returns the view of `row` under `name`.
     pub fn of(name: &row::Name, row: &Row) -> Self {
         let texts = row.cells.iter().map(|(c, cell)| (*c, cell.to_string()));
         Self {
@@ -41,17 +41,17 @@
     }
 }
 
-/// Shows the whole table.
+/// The whole table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TableView {
-    /// Gives the revision of the newest change.
+    /// Revision of the newest change.
     pub revision: u64,
-    /// Lists the rows in order of sheet and name.
+    /// The rows in order of sheet and name.
     pub rows: Vec<RowView>,
 }
 
 impl TableView {
-    /// Shows `table`.
+    /// Returns the view of `table`.
     pub fn of(table: &Table) -> Self {
         Self {
             revision: table.revision(),
@@ -63,28 +63,28 @@
     }
 }
 
-/// Shows one accepted edit.
+/// An accepted edit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// Holds the edit as it was sent.
+    /// The edit as it was sent.
     pub edit: Edit,
-    /// Gives the table revision that the edit produced.
+    /// Table revision that the edit produced.
     pub revision: u64,
 }
 
-/// Shows the edits after a revision; `/admin/history` and `/admin/watch` answer with it.
+/// The edits after a revision: the response of `/admin/history` and `/admin/watch`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct History {
-    /// Lists the edits in order of revision.
+    /// The edits in order of revision.
     pub changes: Vec<Change>,
-    /// Tells that older edits were asked for than the daemon keeps.
+    /// Whether the request asked for older edits than the daemon keeps.
     #[serde(default)]
     pub cut: bool,
-    /// Gives the revision of the newest change.
+    /// Revision of the newest change.
     pub revision: u64,
 }
 
-/// Names the kind of a failure of an operator's request.
+/// Kind of a failure of an operator's request.
 #[derive(
     Clone,
     Copy,
@@ -102,19 +102,19 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Kind {
-    /// Means that the request is malformed or an edit does not fit its sheet.
+    /// The request is malformed or an edit does not fit its sheet.
     BadRequest,
-    /// Means that the row has moved on from the revision that the edit names.
+    /// The row has a newer revision than the one that the edit is based on.
     Conflict,
-    /// Means that an edit key came again with another edit.
+    /// An edit key was used before for another edit.
     KeyReused,
-    /// Means that the edit may or may not have been accepted; send the same edit key again.
+    /// The edit may or may not have been accepted; send the same edit key again.
     OutcomeUnknown,
-    /// Means that the voters cannot agree at the moment; the edit was not accepted.
+    /// The voters have no quorum at the moment; the edit was not accepted.
     QuorumAway,
-    /// Means that the operator's key is missing or wrong.
+    /// The operator's key is missing or wrong.
     Unauthorized,
-    /// Means that the row, the request or the path is not there.
+    /// The row, the request or the path does not exist.
     Unknown,
 }
 
@@ -132,210 +132,210 @@
     }
 }
 
-/// Tells an operator why a request failed.
+/// Failure of an operator's request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Failure {
-    /// Names the kind of the failure.
+    /// Kind of the failure.
     pub kind: Kind,
-    /// Says in words what happened and what the operator can do.
+    /// What happened and what the operator can do, in words.
     pub message: String,
 }
 
-/// Wraps a failure as the body of a response.
+/// Body of the response for a failed request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Body {
-    /// Holds the failure.
+    /// The failure.
     pub error: Failure,
 }
 
-/// Shows a daemon as it sees itself and its fleet.
+/// Status of a daemon, and of its fleet as the daemon sees it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Status {
-    /// Maps the names of counters, with their labels, to their values.
+    /// Values of the counters by their names with labels.
     #[serde(default)]
     pub counters: BTreeMap<String, u64>,
-    /// Shows the shutdown under way.
+    /// The shutdown in progress, if any.
     #[serde(default)]
     pub drain: Option<Drain>,
-    /// Names the failure domain of the host.
+    /// Name of the failure domain of the host.
     pub failure_domain: String,
-    /// Names the host.
+    /// Name of the host.
     pub host: String,
-    /// Lists the hosts that the daemon knows of, itself included.
+    /// The hosts that the daemon knows, including its own.
     #[serde(default)]
     pub hosts: Vec<Host>,
-    /// Names the voter that leads, as far as the daemon knows.
+    /// Name of the leading voter, if the daemon knows it.
     #[serde(default)]
     pub leader: Option<String>,
-    /// Gives the table revision in force on this daemon.
+    /// Table revision in force on this daemon.
     pub revision: u64,
-    /// Lists the roles of the daemon.
+    /// Roles of the daemon.
     pub roles: Vec<String>,
-    /// Gives the time since the daemon started, in milliseconds.
+    /// Time since the daemon started, in milliseconds.
     pub uptime_ms: u64,
-    /// Lists the upstreams of the table.
+    /// The upstreams of the table.
     #[serde(default)]
     pub upstreams: Vec<Upstream>,
-    /// Gives the version of the program.
+    /// Version of the program.
     pub version: String,
 }
 
-/// Shows a shutdown under way.
+/// A shutdown in progress.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Drain {
-    /// Counts the requests that still run.
+    /// Number of requests that still run.
     pub in_flight: u64,
-    /// Gives the time since the drain began, in milliseconds.
+    /// Time since the drain began, in milliseconds.
     pub since_ms: u64,
 }
 
-/// Shows one host as the answering daemon sees it.
+/// A host as the answering daemon sees it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Host {
-    /// Gives the address for callers, where the host is an entry.
+    /// Address for callers, if the host accepts them.
     #[serde(default)]
     pub address: Option<String>,
-    /// Names the failure domain.
+    /// Name of the failure domain.
     pub failure_domain: String,
-    /// Names the host.
+    /// Name of the host.
     pub name: String,
-    /// Lists the roles.
+    /// Roles of the host.
     #[serde(default)]
     pub roles: Vec<String>,
-    /// Names what the host is held to be, such as `live`, `suspect`, `leaving` or `dead`.
+    /// Standing of the host, such as `live`, `suspect`, `leaving` or `dead`.
     pub standing: String,
 }
 
-/// Shows one upstream as the answering daemon sees it.
+/// An upstream as the answering daemon sees it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Upstream {
-    /// Gives the address.
+    /// Address of the upstream.
     pub address: String,
-    /// Gives the incarnation last seen.
+    /// Incarnation last seen.
     #[serde(default)]
     pub incarnation: Option<u64>,
-    /// Counts the requests that run on it, as far as the daemon knows.
+    /// Number of requests in flight at the upstream that the daemon knows of.
     #[serde(default)]
     pub in_flight: u64,
-    /// Names the row.
+    /// Name of the row in its sheet.
     pub name: String,
-    /// Names the broker that owns the upstream.
+    /// Name of the broker that owns the upstream.
     #[serde(default)]
     pub owner: Option<String>,
-    /// Counts the requests that wait for it.
+    /// Number of requests that wait for the upstream.
     #[serde(default)]
     pub queued: u64,
-    /// Names what the upstream is held to be, such as `serving`, `leaving`, `down` or `off`.
+    /// Standing of the upstream, such as `serving`, `leaving`, `down` or `off`.
     pub standing: String,
-    /// Names the weights version last seen.
+    /// Weights version last seen.
     #[serde(default)]
     pub version: Option<String>,
 }
 
-/// Shows the voters as the answering daemon sees them.
+/// The voters as the answering daemon sees them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Voters {
-    /// Gives the index of the newest entry known to be committed.
+    /// Index of the newest log entry that is known to be committed.
     pub committed: u64,
-    /// Names the voter that leads, as far as the daemon knows.
+    /// Name of the leading voter, if the daemon knows it.
     #[serde(default)]
     pub leader: Option<String>,
-    /// Gives the newest term that the daemon has seen.
+    /// Newest term that the daemon has seen.
     pub term: u64,
-    /// Lists the voters and learners.
+    /// The voters and learners.
     pub voters: Vec<Voter>,
 }
 
-/// Shows one voter or learner.
+/// A voter or learner.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Voter {
-    /// Gives the address for peers.
+    /// Address for peers.
     pub address: String,
-    /// Identifies the data folder of its log.
+    /// Identity of the data folder of its log.
     #[serde(default)]
     pub identity: String,
-    /// Gives the index up to which its log is known to match; only the leader knows.
+    /// Index up to which its log is known to match the leader's; only the leader reports it.
     #[serde(default)]
     pub matched: Option<u64>,
-    /// Names the host.
+    /// Name of the host.
     pub name: String,
-    /// Names what it is: `voter`, `learner` or `removed`.
+    /// Its part in the group: `voter`, `learner` or `removed`.
     pub standing: String,
 }
 
-/// Shows how one request was decided; times count from its arrival, in milliseconds.
+/// How a request was decided; times are in milliseconds since its arrival.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Explanation {
-    /// Lists the attempts in order of time.
+    /// The attempts in order of time.
     #[serde(default)]
     pub attempts: Vec<Attempt>,
-    /// Lists the upstreams that were weighed, the chosen one first.
+    /// The upstreams that were considered, the chosen one first.
     #[serde(default)]
     pub candidates: Vec<Candidate>,
-    /// Names the request.
+    /// Identifier of the request.
     pub id: String,
-    /// Names the kind of work.
+    /// Name of the kind of work.
     #[serde(default)]
     pub kind: String,
-    /// Names how the request ended, such as `done`, `refused` or `running`.
+    /// Outcome of the request, such as `done`, `refused` or `running`.
     pub outcome: String,
-    /// Names the rank.
+    /// Rank of the request.
     #[serde(default)]
     pub rank: String,
-    /// Names the reason of the refusal.
+    /// Reason of the refusal, if the request was refused.
     #[serde(default)]
     pub refusal: Option<String>,
-    /// Lists the waits and retries in order of time.
+    /// The waits and retries in order of time.
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// Names the workspace.
+    /// Name of the workspace.
     #[serde(default)]
     pub workspace: String,
 }
 
-/// Shows one run of a request on an upstream.
+/// An attempt to run a request on an upstream.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Attempt {
-    /// Gives when it ended.
+    /// Time of its end.
     #[serde(default)]
     pub ended_ms: Option<u64>,
-    /// Gives when its first token came.
+    /// Time of its first token.
     #[serde(default)]
     pub first_token_ms: Option<u64>,
-    /// Gives the offset from which it streamed, in tokens.
+    /// Offset in the answer from which it streamed, in tokens.
     #[serde(default)]
     pub offset: u64,
-    /// Names how it ended.
+    /// Outcome of the attempt.
     pub outcome: String,
-    /// Gives when it started.
+    /// Time of its start.
     pub started_ms: u64,
-    /// Names the upstream.
+    /// Name of the upstream.
     pub upstream: String,
 }
 
-/// Shows what one upstream would have cost.
+/// An upstream that was considered, and its expected cost.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Candidate {
-    /// Counts the tokens of the prompt that the upstream is held to have cached.
+    /// Number of tokens of the prompt that the upstream is expected to have in its cache.
     #[serde(default)]
     pub cached_tokens: u64,
-    /// Names why the upstream was passed over; absent for the chosen one.
+    /// Reason why the upstream was not chosen; absent for the chosen one.
     #[serde(default)]
     pub passed_over: Option<String>,
-    /// Gives the expected time to the first token, in milliseconds.
+    /// Expected time to the first token, in milliseconds.
     #[serde(default)]
     pub score_ms: f64,
-    /// Names the upstream.
+    /// Name of the upstream.
     pub upstream: String,
 }
 
-/// Shows one wait or retry.
+/// A wait or retry.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Step {
-    /// Gives when it began.
+    /// Time of its start.
     pub at_ms: u64,
-    /// Gives how long it took, in milliseconds.
+    /// Duration, in milliseconds.
     pub length_ms: u64,
-    /// Names the reason, from the catalogue of refusal and retry reasons.
+    /// Reason, from the catalogue of refusal and retry reasons.
     pub reason: String,
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,4 +1,4 @@
-//! The one service that daemons offer each other over an authenticated connection.
+//! The service that daemons offer each other over an authenticated connection.
 
 use std::sync::Arc;
 
@@ -24,45 +24,46 @@
 use coordination::state_machine::Answer;
 use coordination::state_machine::Command;
 
-/// Numbers the form of the messages; a connection needs the same number on both ends.
+/// Version of the message formats; both ends of a connection need the same one.
 pub const VERSION: u32 = 5;
 
-/// Serves the other daemons of the fleet.
+/// Service for the other daemons of the fleet.
 ///
-/// Methods stand in the order in which they were added, because the order numbers them on the wire.
+/// New methods are appended, because the position of a method identifies it on the wire.
 #[tarpc::service]
 pub trait Peer {
-    /// Takes a message of the failure detector and returns the reply.
+    /// Handles a message of the failure detector and returns the reply.
     async fn gossip(message: Message) -> Message;
-    /// Returns at once, which shows that the connection works both ways.
+    /// Returns at once, to check that the connection works in both directions.
     async fn ping();
-    /// Takes messages of the replicated log.
+    /// Handles messages of the replicated log.
     async fn replicate(batch: MessageBatch);
-    /// Has the voter replicate a command, if it leads.
+    /// Replicates a command, if the host's voter is the leader.
     async fn propose(command: Command) -> Result<Answer, Rejection>;
-    /// Tells what the voter's data folder is, where the host has one that works.
+    /// Returns the identity of the voter's data folder, if the host has a working voter.
     async fn data_folder() -> Option<DataFolder>;
-    /// Waits a while for a table after that revision.
+    /// Waits a limited time for a table newer than revision `after`.
     async fn table_update(after: u64) -> TableUpdate;
-    /// Has the voter change the voters, if it leads.
+    /// Changes the voters, if the host's voter is the leader.
     async fn change_voters(change: VoterChange) -> Result<(), Rejection>;
-    /// Shows the voters, where the host has one that works.
+    /// Returns the voters, if the host has a working voter.
     async fn voters() -> Option<Voters>;
-    /// Shows the edits after a revision, where the host has a voter that works.
+    /// Returns the edits after a revision, if the host has a working voter.
     async fn history(after: u64) -> Option<History>;
-    /// Answers for the requests that may crash upstreams.
+    /// Handles a call about requests that may crash upstreams.
     async fn quarantine(call: quarantine::Call) -> quarantine::Answer;
-    /// Asks for a place on an upstream that the host owns, and waits for it.
+    /// Places a request on an upstream that the host owns, after waiting for free capacity.
     async fn place(request: broker::PlacementRequest) -> Result<Box<Grant>, Refusal>;
-    /// Tells the owner of an upstream how far a granted request has come.
+    /// Reports the progress of a granted request to the owner of its upstream.
     async fn report_progress(report: ProgressReport);
-    /// Reports a request again to the new owner of its upstream.
+    /// Reports a request in flight to the new owner of its upstream.
     async fn report_in_flight(request: InFlightRequest);
-    /// Tells what a host that serves callers lacks; only the voter that leads can.
+    /// Returns the routing state that a host which serves callers does not have yet; only the
+    /// leading voter can.
     async fn routing_update(request: routing_update::Request) -> Result<RoutingUpdate, Rejection>;
-    /// Returns the operator's text of the routed table; only the voter that leads can.
+    /// Returns the routed table as the operator sent it; only the leading voter can.
     async fn routing_source() -> Result<Arc<String>, Rejection>;
-    /// Assigns an engine to a long prompt; only the host whose voter leads can.
+    /// Assigns an engine to a long prompt; only the host of the leading voter can.
     async fn assign(
         request: assignment::Request,
     ) -> Result<Result<Choice, choice::Refusal>, Rejection>;
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,43 +1,43 @@
-//! The HTTP contract of the platform's list of upstream hosts.
+//! The HTTP contract for the platform's list of upstream hosts.
 
 use std::net::IpAddr;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Names the path of the list.
+/// Path of the list.
 pub const HOSTS_PATH: &str = "/v1/hosts";
 
-/// Lists the hosts as the platform saw them a while ago.
+/// The hosts, as of the time when the platform made the list.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HostList {
-    /// Numbers the list; a later one has a greater number.
+    /// Number of the list; a later list has a greater number.
     pub edition: u64,
-    /// Lists the hosts.
+    /// The hosts.
     pub hosts: Vec<Host>,
 }
 
-/// Lists one host.
+/// A host of the list.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Host {
-    /// Gives the host's IP number.
+    /// IP address of the host.
     pub address: IpAddr,
-    /// Tells whether the host stays.
+    /// Whether the host is about to stop.
     pub standing: Standing,
 }
 
-/// Tells whether a host stays.
+/// Standing of a host.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// Means that it is about to end.
+    /// The host is about to stop.
     Leaving,
-    /// Means that it runs.
+    /// The host runs.
     Live,
 }
 
 impl HostList {
-    /// Returns what the list says of a host, if it names it.
+    /// Returns the standing of the host at `address`, if it is listed.
     pub fn standing(&self, address: IpAddr) -> Option<Standing> {
         let host = self.hosts.iter().find(|host| host.address == address);
         host.map(|host| host.standing)
--- a/crates/protocol/src/refusal.rs
+++ b/crates/protocol/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The one body that every refused request gets.
+//! The response body for every refused request.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// Tells why a request was refused; each reason has a counter.
+/// Reason why a request was refused; each reason has a counter.
 #[derive(
     Clone,
     Copy,
@@ -27,53 +27,53 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Reason {
-    /// Means that the answer broke off and could not be resumed.
+    /// The answer was interrupted and could not be resumed.
     AnswerCut,
-    /// Means that the request is malformed.
+    /// The request is malformed.
     BadRequest,
-    /// Means that the body is longer than the daemon reads.
+    /// The body is longer than the daemon reads.
     BodyTooLarge,
-    /// Means that the caller already has too many requests in flight.
+    /// The caller already has too many requests in flight.
     CallerLimit,
-    /// Means that the deadline has passed or cannot be met.
+    /// The deadline has passed or cannot be met.
     Deadline,
-    /// Means that the daemon is shutting down.
+    /// The daemon is shutting down.
     Draining,
-    /// Means that an idempotency key is older than the ledger keeps.
+    /// An idempotency key is older than the ledger keeps.
     KeyExpired,
-    /// Means that a request which must run at most once carries no idempotency key.
+    /// A request that must run at most once has no idempotency key.
     KeyMissing,
-    /// Means that an idempotency key came again with another body.
+    /// An idempotency key was used before with another body.
     KeyReused,
-    /// Means that the same order is running at this moment.
+    /// The same order is running.
     KeyRunning,
-    /// Means that the kind of work already has too many requests in flight.
+    /// The kind of work already has too many requests in flight.
     KindLimit,
-    /// Means that no upstream can take the request.
+    /// No upstream can take the request.
     NoUpstream,
-    /// Means that an order may or may not have run.
+    /// An order may or may not have run.
     OutcomeUnknown,
-    /// Means that a queue or ring is full.
+    /// A queue or ring buffer is full.
     Overloaded,
-    /// Means that the request crashed upstreams and is held back.
+    /// The request crashed upstreams and is quarantined.
     Quarantined,
-    /// Means that the voters cannot agree at the moment.
+    /// The voters have no quorum at the moment.
     QuorumAway,
-    /// Means that a workspace used its tokens for now.
+    /// The workspace has used up its token rate.
     RateLimit,
-    /// Means that the retry budget is spent.
+    /// The retry budget is spent.
     RetryBudget,
-    /// Means that the credential is missing or wrong.
+    /// The credential is missing or wrong.
     Unauthorized,
-    /// Means that no model of that name is in the table.
+    /// The table has no model of that name.
     UnknownModel,
-    /// Means that nothing is served under that path.
+    /// Nothing is served under that path.
     UnknownPath,
-    /// Means that no plain service of that name is in the table.
+    /// The table has no plain service of that name.
     UnknownService,
-    /// Means that the upstream answered with an error.
+    /// The upstream answered with an error.
     UpstreamFailed,
-    /// Means that the workspace already has too many requests in flight.
+    /// The workspace already has too many requests in flight.
     WorkspaceLimit,
 }
 
@@ -99,38 +99,38 @@
     }
 }
 
-/// Tells whether the refused request stayed without effect.
+/// Whether a refused request had no effect.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum NotRun {
-    /// Means that part of it ran.
+    /// It ran at least in part.
     False,
-    /// Means that it certainly did not run.
+    /// It certainly did not run.
     True,
-    /// Means that it may have run.
+    /// It may have run.
     Unknown,
 }
 
-/// Refuses a request.
+/// Refusal of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Says in words what happened and what the caller can do.
+    /// What happened and what the caller can do, in words.
     pub message: String,
-    /// Tells whether the request ran.
+    /// Whether the request certainly did not run.
     pub not_run: NotRun,
-    /// Tells why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// Names the request.
+    /// Identifier of the request.
     pub request_id: String,
-    /// Gives the time after which to try again, in milliseconds.
+    /// Time after which to try again, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// Wraps a refusal as the body of a response.
+/// Body of the response for a refused request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Body {
-    /// Holds the refusal.
+    /// The refusal.
     pub error: Refusal,
 }
--- a/crates/protocol/src/service.rs
+++ b/crates/protocol/src/service.rs
@@ -1,13 +1,13 @@
 //! The HTTP contract of a plain service.
 //!
-//! A call reaches the service under the path, method, query and body that the caller gave, with
-//! two headers more: the order's name and the attempt's number.
+//! A call is sent to the service with the path, method, query and body that the caller gave, and
+//! with two more headers: the id of the order and the number of the attempt.
 
-/// Names the request header with the name under which the ledger keeps the order.
+/// Request header with the id under which the ledger records the order.
 pub const ORDER_ID_HEADER: &str = "x-order-id";
-/// Names the request header with the number that fences the attempt.
+/// Request header with the fencing token of the attempt.
 pub const ATTEMPT_HEADER: &str = "x-attempt";
-/// Names the response header with which a service says that a call had no effect.
+/// Response header by which a service reports that a call had no effect.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
-/// Holds the value of [`NOT_RUN_HEADER`] that says so.
+/// Value of [`NOT_RUN_HEADER`] for a call that had no effect.
 pub const NOT_RUN_TRUE: &str = "true";
--- a/crates/protocol/src/voter.rs
+++ b/crates/protocol/src/voter.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other about the replicated log and the table.
+//! Messages between daemons about the replicated log and the table.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,75 +13,75 @@
 use state::edit::Edit;
 use state::table::Table;
 
-/// Asks for a change of the voters by the names of hosts.
+/// Change of the voters that an operator asks for, by the names of hosts.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoterChange {
-    /// Adds the voter of a host, which votes once it has caught up.
+    /// Add the voter of a host, which votes once its log has caught up.
     Add {
-        /// Holds its address for peers.
+        /// Address for peers.
         address: SocketAddr,
-        /// Names the host.
+        /// Name of the host.
         name: String,
     },
-    /// Removes a voter.
+    /// Remove a voter.
     Remove {
-        /// Names the host.
+        /// Name of the host.
         name: String,
     },
 }
 
-/// Tells what a voter's data folder is.
+/// Identity of a voter's data folder.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DataFolder {
-    /// Identifies the group that it belongs to, if it does yet.
+    /// Group of voters that the folder belongs to, if any yet.
     pub group: Option<MemberId>,
-    /// Identifies it.
+    /// Identity of the folder.
     pub identity: MemberId,
-    /// Names the host.
+    /// Name of the host.
     pub name: String,
 }
 
-/// Carries messages of the replicated log.
+/// Messages of the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MessageBatch {
-    /// Holds the sender's address for answers.
+    /// Address of the sender, for answers.
     pub address: SocketAddr,
-    /// Holds the messages in order.
+    /// The messages in order.
     pub envelopes: Vec<Envelope>,
 }
 
-/// Tells why a voter did not take a command.
+/// Reason why a voter did not accept a command.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Error, IntoStaticStr, PartialEq, Serialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum Rejection {
-    /// Reports too many commands under way; nothing was replicated.
-    #[error("too many commands wait for the voters")]
+    /// Too many commands are in flight; nothing was replicated.
+    #[error("too many commands are waiting for the voters")]
     Backlog,
-    /// Reports a change of the voters that does not fit; nothing was replicated.
-    #[error("this change of the voters does not fit now")]
+    /// The change of the voters is not possible now; nothing was replicated.
+    #[error("this change of the voters is not possible now")]
     Change,
-    /// Reports a host without a working voter; nothing was replicated.
+    /// The host has no working voter; nothing was replicated.
     #[error("this host has no working voter")]
     Ended,
-    /// Reports a command that was replaced before it was committed; it took no effect.
-    #[error("another leader replaced the command")]
+    /// The command was replaced before it was committed; it had no effect.
+    #[error("another leader replaced the command before it was committed")]
     Lost,
-    /// Reports a voter that does not lead; nothing was replicated.
-    #[error("this voter does not lead")]
+    /// The voter is not the leader, whose address it may know; nothing was replicated.
+    #[error("this voter is not the leader")]
     NotLeader(Option<SocketAddr>),
-    /// Reports a command whose outcome this voter no longer learns.
-    #[error("the outcome is not known here")]
+    /// This voter cannot learn the outcome of the command any more.
+    #[error("this host cannot learn the outcome of the command")]
     Unknown,
 }
 
-/// Brings what a daemon lacks of the table.
+/// Update of the table for a daemon that has an older revision.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TableUpdate {
-    /// Holds the edits after the asker's revision, in order.
+    /// The edits after the daemon's revision, in order.
     Edits(Vec<Edit>),
-    /// Tells that there is nothing newer.
+    /// The daemon's revision is the newest.
     UpToDate,
-    /// Holds the whole table.
+    /// The whole table.
     WholeTable(Arc<Table>),
 }
--- a/crates/protocol/src/weight_store.rs
+++ b/crates/protocol/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The HTTP contract of the weight store, which engines speak and the router does not.
+//! The HTTP contract between engines and the weight store; the router itself does not use it.
 
-/// Starts the path of weights; the model, a slash and the version follow.
+/// Prefix of the path of weights; the model, a slash and the version follow.
 pub const WEIGHTS_PATH: &str = "/v1/weights/";
--- a/crates/protocol/tests/decoders.rs
+++ b/crates/protocol/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Checks the reading of callers', operators' and upstreams' formats from text of any kind.
+//! Properties of decoding the formats of callers, operators and upstreams from arbitrary text.
 
 use proptest::collection::hash_map;
 use proptest::collection::vec;
@@ -40,7 +40,7 @@
     "version",
 ];
 
-/// Draws JSON whose fields often have the names that the formats use.
+/// Generates JSON whose fields often have the names that the formats use.
 fn json() -> BoxedStrategy<Value> {
     let leaf = proptest::prop_oneof![
         Just(Value::Null),
@@ -63,8 +63,8 @@
     nested.boxed()
 }
 
-/// Tells whether `value` is no `T`, or one that is written and read the same.
-fn same<T>(value: &Value) -> bool
+/// Returns whether `value` is not a `T`, or survives a round trip through one.
+fn round_trips<T>(value: &Value) -> bool
 where
     T: DeserializeOwned + PartialEq + Serialize,
 {
@@ -77,27 +77,27 @@
 
 proptest! {
     #[test]
-    fn json_of_any_kind_is_read_the_same_again_or_refused(value in json()) {
-        prop_assert!(same::<completion::Request>(&value));
-        prop_assert!(same::<completion::Completion>(&value));
-        prop_assert!(same::<engine::Request>(&value));
-        prop_assert!(same::<engine::Piece>(&value));
-        prop_assert!(same::<engine::Load>(&value));
-        prop_assert!(same::<engine::Snapshot>(&value));
-        prop_assert!(same::<operator::Status>(&value));
-        prop_assert!(same::<operator::Explanation>(&value));
-        prop_assert!(same::<refusal::Body>(&value));
-        prop_assert!(same::<Edit>(&value));
+    fn arbitrary_json_is_refused_or_survives_a_round_trip(value in json()) {
+        prop_assert!(round_trips::<completion::Request>(&value));
+        prop_assert!(round_trips::<completion::Completion>(&value));
+        prop_assert!(round_trips::<engine::Request>(&value));
+        prop_assert!(round_trips::<engine::Piece>(&value));
+        prop_assert!(round_trips::<engine::Load>(&value));
+        prop_assert!(round_trips::<engine::Snapshot>(&value));
+        prop_assert!(round_trips::<operator::Status>(&value));
+        prop_assert!(round_trips::<operator::Explanation>(&value));
+        prop_assert!(round_trips::<refusal::Body>(&value));
+        prop_assert!(round_trips::<Edit>(&value));
     }
 
     #[test]
-    fn bytes_of_any_kind_are_a_request_or_an_error(bytes in vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_decode_to_a_message_or_an_error(bytes in vec(any::<u8>(), 0..300)) {
         let _ = serde_json::from_slice::<completion::Request>(&bytes);
         let _ = serde_json::from_slice::<engine::Piece>(&bytes);
     }
 
     #[test]
-    fn a_request_keeps_the_fields_that_the_daemon_does_not_read(
+    fn a_request_keeps_fields_unknown_to_the_daemon(
         max_tokens in option::of(any::<u64>()),
         prompt in ".{0,60}",
         stream in any::<bool>(),
@@ -118,20 +118,20 @@
     }
 
     #[test]
-    fn a_cut_request_is_refused(prompt in ".{0,60}", cut in any::<proptest::sample::Index>()) {
+    fn a_partial_request_is_refused(prompt in ".{0,60}", cut in any::<proptest::sample::Index>()) {
         let whole = serde_json::json!({"model": "m", "prompt": prompt}).to_string();
         let part = &whole.as_bytes()[..cut.index(whole.len())];
         prop_assert!(serde_json::from_slice::<completion::Request>(part).is_err());
     }
 
     #[test]
-    fn a_block_is_written_and_read_the_same(number in any::<u128>()) {
+    fn a_block_survives_a_round_trip_through_text(number in any::<u128>()) {
         let block = BlockHash(number);
         prop_assert_eq!(block::parse(&block::format(block)), Some(block));
     }
 
     #[test]
-    fn a_text_that_is_read_as_a_block_has_32_digits(text in "[0-9a-fA-F+ -]{30,34}|.{0,40}") {
+    fn only_32_hexadecimal_digits_parse_as_a_block(text in "[0-9a-fA-F+ -]{30,34}|.{0,40}") {
         let plain = text.len() == 32 && text.chars().all(|c| c.is_ascii_hexdigit());
         prop_assert_eq!(block::parse(&text).is_some(), plain);
     }
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_field_that_stands_twice_is_refused() {
+fn a_duplicate_field_is_refused() {
     let text = r#"{"model": "m", "model": "n", "prompt": "p"}"#;
     assert!(serde_json::from_str::<completion::Request>(text).is_err());
 }
--- a/crates/protocol/tests/event_stream.rs
+++ b/crates/protocol/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Streams of events that break off anywhere and go on from another source.
+//! Event streams that break off at any byte and are resumed from another source.
 
 use proptest::prelude::any;
 use proptest::prelude::prop;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn only_whole_events_pass() {
+fn only_whole_events_are_passed_on() {
     let mut splitter = Splitter::default();
     assert_eq!(splitter.push(b"id: 1\ndata: a\n"), "");
     assert_eq!(splitter.push(b"\nid: 2\nda"), "id: 1\ndata: a\n\n");
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn events_that_passed_before_are_left_out() {
+fn events_passed_on_before_are_left_out() {
     let mut splitter = Splitter::new(Some(2));
     assert_eq!(splitter.push(events(1, 4).as_bytes()), events(3, 4));
 }
 
 #[test]
-fn what_follows_the_last_event_passes_at_the_end() {
+fn bytes_after_the_last_event_are_returned_at_the_end() {
     let mut splitter = Splitter::default();
     assert_eq!(splitter.push(b"id: 1\n\n: end"), "id: 1\n\n");
     assert_eq!(splitter.finish(), ": end");
@@ -42,7 +42,7 @@
     })]
 
     #[test]
-    fn a_stream_from_two_sources_is_the_whole_stream(
+    fn a_stream_resumed_from_another_source_is_complete_without_duplicates(
         count in 1_u64..40,
         cut in any::<prop::sample::Index>(),
         sizes in prop::collection::vec(1_usize..50, 1..40),
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -25,7 +25,7 @@
 /// Most answered intents that one record remembers.
 const MAX_ANSWERED_INTENTS: usize = 16;
 
-/// Fencing number of one attempt at a call; a later attempt has a greater number.
+/// Fencing token of one attempt at a call; a later attempt has a greater one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Attempt(pub u64);
 
