--- a/crates/coordination/src/broker.rs
+++ b/crates/coordination/src/broker.rs
@@ -110,7 +110,7 @@
 /// An action that the caller of [`Broker::step`] must take.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Have an upstream export blocks to the kept-KV store.
+    /// Have an upstream export blocks to the KV store.
     Export {
         /// Name of the upstream that holds the blocks.
         source: String,
--- a/crates/coordination/src/upstream_pool.rs
+++ b/crates/coordination/src/upstream_pool.rs
@@ -372,7 +372,7 @@
         self.at_mut(index).load.record_first_token(work, now);
     }
 
-    /// Returns the kept-KV store to which `source` should export the blocks of the prompt, if a
+    /// Returns the KV store to which `source` should export the blocks of the prompt, if a
     /// usable store lacks some of them.
     pub fn export_target(
         &self,
@@ -385,8 +385,8 @@
         let can_import =
             |u: &Upstream| u.role == Role::Store && u.is_usable() && u.has_model(&request.model);
         let (index, store) = self.iter().find(|(_, u)| can_import(u))?;
-        let held = stored_blocks(request, version, index, directory, now);
-        ((held as usize) < request.blocks.len()).then(|| store.name.clone())
+        let stored = stored_blocks(request, version, index, directory, now);
+        ((stored as usize) < request.blocks.len()).then(|| store.name.clone())
     }
 
     /// Updates the upstreams from a new table. `owned` limits them to those of this broker; `None`
@@ -449,7 +449,7 @@
     /// Returns the cache that certainly holds the most leading blocks computed with `version`.
     ///
     /// The directory lists the blocks of an engine without a version, as an engine serves only one.
-    /// A store holds blocks of all versions, so the directory lists them by their hash under a
+    /// A store holds blocks of all versions, so the directory lists them by their hash with the
     /// version.
     fn import_source(
         &self,
