--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -269,15 +269,15 @@
 
     /// Queues the recent cached prefixes of this host again, after they were sent without an answer
     /// or to a host that no longer leads.
-    pub fn resend_prefix_updates(&mut self, now: Instant) {
-        self.prefix_index.resend_updates(now);
+    pub fn requeue_prefix_updates(&mut self, now: Instant) {
+        self.prefix_index.requeue_updates(now);
     }
 
     /// Records that the head of an answer arrived, which ends the prefill.
     pub fn record_answer_head(&mut self, now: Instant, in_flight: &mut InFlight) {
         self.record_byte(now, in_flight);
         self.unresponsive
-            .record_ended(&in_flight.upstream_id, in_flight.request_id);
+            .record_end(&in_flight.upstream_id, in_flight.request_id);
         if let Some(local) = self.local.get_mut(&in_flight.upstream_id) {
             local.pending_prefill_tokens = local
                 .pending_prefill_tokens
@@ -329,7 +329,7 @@
     /// Records that a request is no longer in flight.
     pub fn record_end(&mut self, in_flight: &InFlight) {
         self.unresponsive
-            .record_ended(&in_flight.upstream_id, in_flight.request_id);
+            .record_end(&in_flight.upstream_id, in_flight.request_id);
         if let Some(local) = self.local.get_mut(&in_flight.upstream_id) {
             local.long_prompt_tokens = local
                 .long_prompt_tokens
--- a/crates/coordination/src/prefix_index.rs
+++ b/crates/coordination/src/prefix_index.rs
@@ -99,7 +99,7 @@
     }
 
     /// Queues the entries that were sent but have not expired again, before those not sent yet.
-    pub fn resend_updates(&mut self, now: Instant) {
+    pub fn requeue_updates(&mut self, now: Instant) {
         let sent = std::mem::take(&mut self.sent);
         let recent = sent
             .into_iter()
--- a/crates/coordination/src/unresponsive.rs
+++ b/crates/coordination/src/unresponsive.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records that a request no longer waits.
-    pub fn record_ended(&mut self, id: &str, request_id: RequestId) {
+    pub fn record_end(&mut self, id: &str, request_id: RequestId) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.waiting.remove(&request_id.0);
         }
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -178,9 +178,9 @@
     let sent = host.take_prefix_updates(Instant(600));
     assert_eq!(sent.len(), 1);
     assert_eq!(host.take_prefix_updates(Instant(700)), []);
-    host.resend_prefix_updates(Instant(800));
+    host.requeue_prefix_updates(Instant(800));
     assert_eq!(host.take_prefix_updates(Instant(800)), sent);
-    host.resend_prefix_updates(Instant(10_801));
+    host.requeue_prefix_updates(Instant(10_801));
     assert_eq!(
         host.take_prefix_updates(Instant(10_801)),
         [],
--- a/crates/coordination/tests/routed.rs
+++ b/crates/coordination/tests/routed.rs
@@ -33,7 +33,7 @@
     assert!(detector.is_unresponsive(Instant(501 + TIMEOUT_MS), "u"));
     detector.record_byte(Instant(600), "u");
     assert!(!detector.is_unresponsive(Instant(600 + TIMEOUT_MS), "u"));
-    detector.record_ended("u", slow);
+    detector.record_end("u", slow);
     assert!(!detector.is_unresponsive(Instant(10_000), "u"));
 }
 
--- a/crates/hibiscushoistd/src/routing_snapshot.rs
+++ b/crates/hibiscushoistd/src/routing_snapshot.rs
@@ -142,7 +142,7 @@
                     if let Some(gateway) = &context.gateway {
                         gateway
                             .dispatcher()
-                            .resend_prefix_updates(context.clock.now());
+                            .requeue_prefix_updates(context.clock.now());
                     }
                     leader = hint.filter(|hint| *hint != target);
                     tokio::time::sleep(PAUSE).await;
@@ -202,7 +202,7 @@
             dispatcher.set_other_loads(now, loads);
             dispatcher.record_remote_prefixes(now, cached_prefixes);
             if heard.term != update.prefix_position.term {
-                dispatcher.resend_prefix_updates(now);
+                dispatcher.requeue_prefix_updates(now);
             }
         }
         *heard = update.prefix_position;
