--- a/crates/hibiscushoistd/src/broker.rs
+++ b/crates/hibiscushoistd/src/broker.rs
@@ -28,9 +28,9 @@
 use coordination::shard;
 use coordination::view::View;
 use state::table::Table;
+use transport::channel;
 use transport::clock::Clock;
 use transport::metric;
-use transport::ring;
 
 const RING_CALLS: usize = 4096;
 /// Gives the requests that a host may have on each upstream while the owner is away.
@@ -46,7 +46,7 @@
     Refused(Refusal),
     /// Reports that the duty takes no calls.
     #[error("the broker takes no calls: {0}")]
-    Ring(#[from] ring::Error),
+    Ring(#[from] channel::SendError),
     /// Reports that the duty ended before it answered.
     #[error("the broker ended before it answered")]
     Unanswered,
@@ -64,7 +64,7 @@
 pub struct Handle {
     owned: watch::Receiver<Arc<BTreeSet<String>>>,
     owners: Owners,
-    ring: ring::Sender<Call>,
+    channel: channel::Sender<Call>,
 }
 
 impl Handle {
@@ -106,7 +106,7 @@
             placement_id: Some(ask.placement_id),
         };
         let (answer, answered) = oneshot::channel();
-        self.ring.send(Call::Ask(part, Box::new(ask), answer))?;
+        self.channel.send(Call::Ask(part, Box::new(ask), answer))?;
         let answer = answered.await.map_err(|_| Error::Unanswered)?;
         cancel.disarm();
         answer.map_err(Error::Refused)
@@ -116,8 +116,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full; the broker then forgets the request by age.
-    pub fn settle(&self, report: ProgressReport) -> Result<(), ring::Error> {
+    /// Returns an error when the channel is full; the broker then forgets the request by age.
+    pub fn settle(&self, report: ProgressReport) -> Result<(), channel::SendError> {
         match self.owners.settle(report) {
             None => Ok(()),
             Some(part) => self.send(part, Event::Report(report)),
@@ -128,8 +128,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full.
-    pub fn feed(&self, event: Event) -> Result<(), ring::Error> {
+    /// Returns an error when the channel is full.
+    pub fn feed(&self, event: Event) -> Result<(), channel::SendError> {
         self.send(Part::Own, event)
     }
 
@@ -172,8 +172,8 @@
         }
     }
 
-    fn send(&self, part: Part, event: Event) -> Result<(), ring::Error> {
-        self.ring.send(Call::Event(part, Box::new(event)))
+    fn send(&self, part: Part, event: Event) -> Result<(), channel::SendError> {
+        self.channel.send(Call::Event(part, Box::new(event)))
     }
 }
 
@@ -219,7 +219,7 @@
 ///
 /// Returns an error when the thread cannot be started.
 pub fn start(clock: Clock, owners: Owners, resyncs: mpsc::Sender<String>) -> io::Result<Handle> {
-    let (ring, calls) = ring::bounded(RING_CALLS);
+    let (channel, calls) = channel::bounded(RING_CALLS);
     let mut table = owners.table();
     table.mark_changed();
     let (owned, watched) = watch::channel(Arc::default());
@@ -240,18 +240,18 @@
     Ok(Handle {
         owned: watched,
         owners,
-        ring,
+        channel,
     })
 }
 
 impl Duty {
-    fn run(&mut self, calls: &ring::Receiver<Call>) {
+    fn run(&mut self, calls: &channel::Receiver<Call>) {
         loop {
             let received = calls.receive(TICK);
             self.read();
             match received {
-                Err(ring::Empty::Closed) => return,
-                Err(ring::Empty::Timeout) => {
+                Err(channel::ReceiveError::Closed) => return,
+                Err(channel::ReceiveError::Timeout) => {
                     self.step(Part::Own, Event::Tick);
                     self.step(Part::StandIn, Event::Tick);
                 }
--- a/crates/hibiscushoistd/src/follow.rs
+++ b/crates/hibiscushoistd/src/follow.rs
@@ -14,7 +14,7 @@
 use coordination::view::View;
 use protocol::voter::TableUpdate;
 use state::table::Table;
-use transport::ring;
+use transport::channel;
 
 const CALL_LIMIT: Duration = Duration::from_secs(8);
 const PAUSE: Duration = Duration::from_millis(250);
@@ -22,7 +22,7 @@
 /// Collects what following needs.
 pub struct Follower {
     /// Takes the tables.
-    pub offers: ring::Sender<Arc<Table>>,
+    pub offers: channel::Sender<Arc<Table>>,
     /// Holds this host's address for peers.
     pub own: SocketAddr,
     /// Holds the connections.
--- a/crates/hibiscushoistd/src/keeper.rs
+++ b/crates/hibiscushoistd/src/keeper.rs
@@ -11,6 +11,7 @@
 use tokio::sync::watch;
 
 use state::table::Table;
+use transport::channel;
 use transport::disk;
 use transport::disk::Disk;
 use transport::disk::Folder;
@@ -19,7 +20,6 @@
 use transport::log_frame;
 use transport::log_frame::Found;
 use transport::metric;
-use transport::ring;
 
 const FILE: &str = "table";
 const IDLE: Duration = Duration::from_millis(200);
@@ -28,7 +28,7 @@
 /// Reaches the duty.
 pub struct Keeper {
     /// Takes tables; older ones than that in force are dropped.
-    pub offers: ring::Sender<Arc<Table>>,
+    pub offers: channel::Sender<Arc<Table>>,
     /// Shows the table in force.
     pub table: watch::Receiver<Arc<Table>>,
 }
@@ -44,7 +44,7 @@
     let folder = folder.map_err(io::Error::other)?;
     let saved = folder.as_ref().and_then(read).unwrap_or_default();
     let (publish, table) = watch::channel(saved);
-    let (offers, tables) = ring::bounded(RING_TABLES);
+    let (offers, tables) = channel::bounded(RING_TABLES);
     thread::Builder::new()
         .name("keeper".to_owned())
         .spawn(move || run(folder, &tables, &publish, &log))?;
@@ -53,17 +53,17 @@
 
 fn run(
     mut folder: Option<Folder>,
-    tables: &ring::Receiver<Arc<Table>>,
+    tables: &channel::Receiver<Arc<Table>>,
     publish: &watch::Sender<Arc<Table>>,
     log: &Logger,
 ) {
     loop {
         let mut newest = match tables.receive(IDLE) {
-            Err(ring::Empty::Closed) => return,
-            Err(ring::Empty::Timeout) => continue,
+            Err(channel::ReceiveError::Closed) => return,
+            Err(channel::ReceiveError::Timeout) => continue,
             Ok(table) => table,
         };
-        while let Some(table) = tables.take() {
+        while let Some(table) = tables.try_receive() {
             if table.revision() > newest.revision() {
                 newest = table;
             }
--- a/crates/hibiscushoistd/src/member.rs
+++ b/crates/hibiscushoistd/src/member.rs
@@ -24,11 +24,11 @@
 use coordination::membership::Membership;
 use coordination::view::View;
 use state::time::Instant;
+use transport::channel;
 use transport::clock::Clock;
 use transport::event;
 use transport::event::Event;
 use transport::metric;
-use transport::ring;
 
 const RING_CALLS: usize = 4_096;
 const TICK: Duration = Duration::from_millis(membership::TICK_MS);
@@ -38,7 +38,7 @@
 pub enum Error {
     /// Reports that the duty takes no calls.
     #[error("the membership duty takes no calls: {0}")]
-    Ring(#[from] ring::Error),
+    Ring(#[from] channel::SendError),
     /// Reports that the duty gave no answer.
     #[error("the membership duty gave no answer")]
     Unanswered,
@@ -52,7 +52,7 @@
 /// Reaches the duty.
 #[derive(Clone)]
 pub struct Handle {
-    ring: ring::Sender<Call>,
+    channel: channel::Sender<Call>,
     view: watch::Receiver<Arc<View>>,
 }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full.
+    /// Returns an error when the channel is full.
     pub fn drain(&self) -> Result<(), Error> {
         self.feed(gossip::Event::Drain)
     }
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full.
+    /// Returns an error when the channel is full.
     pub fn seek(&self, seeds: Vec<SocketAddr>) -> Result<(), Error> {
         self.feed(gossip::Event::Seeds(seeds))
     }
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full.
+    /// Returns an error when the channel is full.
     pub fn leave(&self) -> Result<(), Error> {
         self.feed(gossip::Event::Leave)
     }
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full.
+    /// Returns an error when the channel is full.
     pub fn load(&self, load: Load) -> Result<(), Error> {
         self.feed(gossip::Event::Load(load))
     }
@@ -102,15 +102,15 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full or the duty gave no answer.
+    /// Returns an error when the channel is full or the duty gave no answer.
     pub async fn gossip(&self, message: Message) -> Result<Message, Error> {
         let (answer, answered) = oneshot::channel();
-        self.ring.send(Call::Asked(Box::new(message), answer))?;
+        self.channel.send(Call::Asked(Box::new(message), answer))?;
         answered.await.map_err(|_| Error::Unanswered)
     }
 
     fn feed(&self, event: gossip::Event) -> Result<(), Error> {
-        Ok(self.ring.send(Call::Event(Box::new(event)))?)
+        Ok(self.channel.send(Call::Event(Box::new(event)))?)
     }
 }
 
@@ -122,7 +122,7 @@
     next_asked: u64,
     pool: Option<Pool>,
     publish: watch::Sender<Arc<View>>,
-    ring: ring::Sender<Call>,
+    channel: channel::Sender<Call>,
     runtime: runtime::Handle,
 }
 
@@ -143,7 +143,7 @@
 ) -> io::Result<Handle> {
     let detector = Membership::new(options);
     let (publish, view) = watch::channel(Arc::new(detector.view()));
-    let (sender, receiver) = ring::bounded(RING_CALLS);
+    let (sender, receiver) = channel::bounded(RING_CALLS);
     let mut duty = Duty {
         asked: HashMap::new(),
         clock,
@@ -152,17 +152,20 @@
         next_asked: 0,
         pool,
         publish,
-        ring: sender.clone(),
+        channel: sender.clone(),
         runtime: runtime::Handle::current(),
     };
     thread::Builder::new()
         .name("member".to_owned())
         .spawn(move || duty.run(&receiver))?;
-    Ok(Handle { ring: sender, view })
+    Ok(Handle {
+        channel: sender,
+        view,
+    })
 }
 
 impl Duty {
-    fn run(&mut self, calls: &ring::Receiver<Call>) {
+    fn run(&mut self, calls: &channel::Receiver<Call>) {
         let mut due = self.clock.now();
         loop {
             let now = self.clock.now();
@@ -173,8 +176,8 @@
             }
             let wait = Duration::from_millis(due.since(self.clock.now()));
             match calls.receive(wait.min(TICK)) {
-                Err(ring::Empty::Closed) => return,
-                Err(ring::Empty::Timeout) => {}
+                Err(channel::ReceiveError::Closed) => return,
+                Err(channel::ReceiveError::Timeout) => {}
                 Ok(Call::Asked(message, answer)) => self.ask(*message, answer),
                 Ok(Call::Event(event)) => self.step(*event),
             }
@@ -236,7 +239,7 @@
             return;
         };
         let client = pool.client(address, host);
-        let ring = self.ring.clone();
+        let channel = self.channel.clone();
         self.runtime.spawn(async move {
             let limit = Duration::from_millis(membership::CALL_TIMEOUT_MS);
             let answer = client
@@ -248,7 +251,7 @@
                 Err(_) => gossip::Event::Failed(call),
                 Ok(message) => gossip::Event::Answered(call, message),
             };
-            let _ = ring.send(Call::Event(Box::new(event)));
+            let _ = channel.send(Call::Event(Box::new(event)));
         });
     }
 
--- a/crates/hibiscushoistd/src/voter.rs
+++ b/crates/hibiscushoistd/src/voter.rs
@@ -36,9 +36,9 @@
 use state::routing;
 use state::table;
 use state::table::Table;
+use transport::channel;
 use transport::metric;
 use transport::peer;
-use transport::ring;
 
 const ARRIVAL_LIMIT: Duration = Duration::from_secs(2);
 const CALL_LIMIT: Duration = Duration::from_millis(2_000);
@@ -65,7 +65,7 @@
 
 #[derive(Clone)]
 pub(crate) struct Local {
-    pub(crate) calls: ring::Sender<Call>,
+    pub(crate) calls: channel::Sender<Call>,
     pub(crate) status: watch::Receiver<Status>,
 }
 
@@ -74,7 +74,7 @@
 pub struct Handle {
     pub(crate) local: Option<Local>,
     pub(crate) name: String,
-    pub(crate) offers: ring::Sender<Arc<Table>>,
+    pub(crate) offers: channel::Sender<Arc<Table>>,
     pub(crate) own: SocketAddr,
     pub(crate) pool: Option<Pool>,
     pub(crate) table: watch::Receiver<Arc<Table>>,
@@ -312,8 +312,8 @@
         let local = self.local.as_ref().ok_or(Rejection::Ended)?;
         let (reply, replied) = oneshot::channel();
         local.calls.send(call(reply)).map_err(|error| match error {
-            ring::Error::Closed => Rejection::Ended,
-            ring::Error::Full => Rejection::Backlog,
+            channel::SendError::Closed => Rejection::Ended,
+            channel::SendError::Full => Rejection::Backlog,
         })?;
         match tokio::time::timeout(CALL_LIMIT, replied).await {
             Ok(Ok(answer)) => answer,
--- a/crates/hibiscushoistd/src/voter_disk.rs
+++ b/crates/hibiscushoistd/src/voter_disk.rs
@@ -12,11 +12,11 @@
 
 use crate::voter_call::Call;
 use coordination::raft_entry::Record;
+use transport::channel;
 use transport::disk::Folder;
 use transport::event;
 use transport::event::Event;
 use transport::metric;
-use transport::ring;
 use transport::store;
 use transport::store::Store;
 
@@ -56,9 +56,9 @@
     }
 }
 
-/// Puts writes into the ring of the duty.
+/// Puts writes into the channel of the duty.
 pub struct Writer {
-    jobs: ring::Sender<Job>,
+    jobs: channel::Sender<Job>,
     /// Shows how far the duty has come.
     pub progress: Progress,
 }
@@ -68,8 +68,8 @@
     pub fn write(&self, job: &Job) -> bool {
         loop {
             match self.jobs.send(job.clone()) {
-                Err(ring::Error::Closed) => return false,
-                Err(ring::Error::Full) => thread::sleep(RING_PAUSE),
+                Err(channel::SendError::Closed) => return false,
+                Err(channel::SendError::Full) => thread::sleep(RING_PAUSE),
                 Ok(()) => return true,
             }
         }
@@ -84,10 +84,10 @@
 /// Returns an error when the thread cannot be started.
 pub fn start(
     store: Option<Store<Folder>>,
-    calls: ring::Sender<Call>,
+    calls: channel::Sender<Call>,
     log: Logger,
 ) -> io::Result<Writer> {
-    let (jobs, receiver) = ring::bounded(RING_JOBS);
+    let (jobs, receiver) = channel::bounded(RING_JOBS);
     let progress = Progress::default();
     let shared = progress.clone();
     thread::Builder::new()
@@ -98,18 +98,18 @@
 
 fn run(
     mut store: Option<Store<Folder>>,
-    jobs: &ring::Receiver<Job>,
-    calls: &ring::Sender<Call>,
+    jobs: &channel::Receiver<Job>,
+    calls: &channel::Sender<Call>,
     progress: &Progress,
     log: &Logger,
 ) {
     loop {
         let mut job = match jobs.receive(IDLE) {
-            Err(ring::Empty::Closed) => return,
-            Err(ring::Empty::Timeout) => continue,
+            Err(channel::ReceiveError::Closed) => return,
+            Err(channel::ReceiveError::Timeout) => continue,
             Ok(job) => job,
         };
-        while let Some(next) = jobs.take() {
+        while let Some(next) = jobs.try_receive() {
             job.records.extend(next.records);
             job.sequence = next.sequence;
         }
--- a/crates/hibiscushoistd/src/voter_duty.rs
+++ b/crates/hibiscushoistd/src/voter_duty.rs
@@ -33,11 +33,11 @@
 use protocol::voter::Rejection;
 use protocol::voter::TableUpdate;
 use state::table::Table;
+use transport::channel;
 use transport::clock::Clock;
 use transport::event;
 use transport::event::Event;
 use transport::metric;
-use transport::ring;
 
 const BATCH: usize = 1_024;
 const COMPACT_BYTES: usize = 4 << 20;
@@ -52,7 +52,7 @@
 
 /// Holds what the duty works with.
 pub struct Duty {
-    calls: ring::Receiver<Call>,
+    calls: channel::Receiver<Call>,
     clock: Clock,
     disk: Writer,
     due: Waiting,
@@ -61,7 +61,7 @@
     raft: Option<Raft>,
     routes: Routes,
     status: watch::Sender<Status>,
-    tables: ring::Sender<Arc<Table>>,
+    tables: channel::Sender<Arc<Table>>,
 }
 
 #[derive(Default)]
@@ -80,7 +80,7 @@
 /// Collects what the duty needs from outside.
 pub struct Parts {
     /// Brings the calls.
-    pub calls: ring::Receiver<Call>,
+    pub calls: channel::Receiver<Call>,
     /// Reads the clock.
     pub clock: Clock,
     /// Takes the writes.
@@ -94,7 +94,7 @@
     /// Shows the voter.
     pub status: watch::Sender<Status>,
     /// Takes the tables that are in force.
-    pub tables: ring::Sender<Arc<Table>>,
+    pub tables: channel::Sender<Arc<Table>>,
 }
 
 impl Duty {
@@ -137,8 +137,8 @@
                 Duration::from_millis(due.since(self.clock.now()))
             });
             match self.calls.receive(wait.min(IDLE)) {
-                Err(ring::Empty::Closed) => return,
-                Err(ring::Empty::Timeout) => {}
+                Err(channel::ReceiveError::Closed) => return,
+                Err(channel::ReceiveError::Timeout) => {}
                 Ok(first) => self.take(first),
             }
             self.written();
@@ -167,7 +167,7 @@
             }
             next = match taken < BATCH {
                 false => None,
-                true => self.calls.take(),
+                true => self.calls.try_receive(),
             };
         }
         if !batch.is_empty() {
--- a/crates/hibiscushoistd/src/voter_start.rs
+++ b/crates/hibiscushoistd/src/voter_start.rs
@@ -31,11 +31,11 @@
 use coordination::raft_entry::Recovered;
 use coordination::raft_settings;
 use coordination::view::View;
+use transport::channel;
 use transport::clock::Clock;
 use transport::disk;
 use transport::event;
 use transport::event::Event;
-use transport::ring;
 use transport::store::Store;
 
 const RING_CALLS: usize = 4_096;
@@ -101,7 +101,7 @@
     let raft_settings = raft_settings::Settings::default();
     let seed = rand::random();
     let raft = Raft::new(identity, raft_settings, seed, clock.now(), recovered);
-    let (calls, receiver) = ring::bounded(RING_CALLS);
+    let (calls, receiver) = channel::bounded(RING_CALLS);
     let disk = voter_disk::start(store, calls.clone(), log.clone());
     let (publish, status) = watch::channel(Status::default());
     let runtime = runtime::Handle::current();
--- a/crates/hibiscushoistd/src/voter_upkeep.rs
+++ b/crates/hibiscushoistd/src/voter_upkeep.rs
@@ -19,9 +19,9 @@
 use coordination::view::View;
 use coordination::voters;
 use protocol::voter::DataFolder;
+use transport::channel;
 use transport::event;
 use transport::event::Event;
-use transport::ring;
 
 const ASK_LIMIT: Duration = Duration::from_millis(1_000);
 const CHANGE_LIMIT: Duration = Duration::from_secs(5);
@@ -30,7 +30,7 @@
 /// Collects what the upkeep needs.
 pub struct Upkeep {
     /// Asks the duty.
-    pub calls: ring::Sender<Call>,
+    pub calls: channel::Sender<Call>,
     /// Tells whether this host has seen a table, which means that a group exists.
     pub founded: bool,
     /// Receives events.
--- a/crates/protocol/src/refusal.rs
+++ b/crates/protocol/src/refusal.rs
@@ -53,7 +53,7 @@
     NoUpstream,
     /// An order may or may not have run.
     OutcomeUnknown,
-    /// A queue or ring buffer is full.
+    /// A queue or channel is full.
     Overloaded,
     /// The request crashed upstreams and is quarantined.
     Quarantined,
--- a/crates/transport/src/ring.rs
+++ b/crates/transport/src/channel.rs
@@ -1,24 +1,24 @@
-//! Bounded rings between the threads of a process.
+//! Bounded channels between the threads of a process.
 
 use std::time::Duration;
 
 use crossbeam_channel as channel;
 use thiserror::Error;
 
-/// Tells why a ring took no message.
+/// Tells why a channel took no message.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-pub enum Error {
+pub enum SendError {
     /// Reports that the receiving duty has ended.
     #[error("the receiving duty has ended")]
     Closed,
-    /// Reports that the ring holds as many messages as it may.
-    #[error("the ring is full")]
+    /// Reports that the channel holds as many messages as it may.
+    #[error("the channel is full")]
     Full,
 }
 
-/// Tells why a ring gave no message.
+/// Tells why a channel gave no message.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-pub enum Empty {
+pub enum ReceiveError {
     /// Reports that every sender is gone.
     #[error("every sender is gone")]
     Closed,
@@ -27,7 +27,7 @@
     Timeout,
 }
 
-/// Puts messages into a ring.
+/// Puts messages into a channel.
 #[derive(Debug)]
 pub struct Sender<T>(channel::Sender<T>);
 
@@ -48,20 +48,20 @@
         self.0.is_empty()
     }
 
-    /// Puts `message` into the ring without waiting.
+    /// Puts `message` into the channel without waiting.
     ///
     /// # Errors
     ///
-    /// Returns an error when the ring is full or its receiver is gone; the message is dropped.
-    pub fn send(&self, message: T) -> Result<(), Error> {
+    /// Returns an error when the channel is full or its receiver is gone; the message is dropped.
+    pub fn send(&self, message: T) -> Result<(), SendError> {
         self.0.try_send(message).map_err(|error| match error {
-            channel::TrySendError::Disconnected(_) => Error::Closed,
-            channel::TrySendError::Full(_) => Error::Full,
+            channel::TrySendError::Disconnected(_) => SendError::Closed,
+            channel::TrySendError::Full(_) => SendError::Full,
         })
     }
 }
 
-/// Takes messages from a ring.
+/// Takes messages from a channel.
 #[derive(Debug)]
 pub struct Receiver<T>(channel::Receiver<T>);
 
@@ -71,20 +71,20 @@
     /// # Errors
     ///
     /// Returns an error when nothing came in time or every sender is gone.
-    pub fn receive(&self, timeout: Duration) -> Result<T, Empty> {
+    pub fn receive(&self, timeout: Duration) -> Result<T, ReceiveError> {
         self.0.recv_timeout(timeout).map_err(|error| match error {
-            channel::RecvTimeoutError::Disconnected => Empty::Closed,
-            channel::RecvTimeoutError::Timeout => Empty::Timeout,
+            channel::RecvTimeoutError::Disconnected => ReceiveError::Closed,
+            channel::RecvTimeoutError::Timeout => ReceiveError::Timeout,
         })
     }
 
     /// Takes a message that already waits.
-    pub fn take(&self) -> Option<T> {
+    pub fn try_receive(&self) -> Option<T> {
         self.0.try_recv().ok()
     }
 }
 
-/// Makes a ring that holds at most `capacity` messages.
+/// Makes a channel that holds at most `capacity` messages.
 pub fn bounded<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (sender, receiver) = channel::bounded(capacity);
     (Sender(sender), Receiver(receiver))
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,6 @@
-//! Moves bytes: HTTP, peer connections, files, clocks, threads and rings.
+//! Moves bytes: HTTP, peer connections, files, clocks, threads and channels.
 
+pub mod channel;
 pub mod clock;
 pub mod disk;
 pub mod engine;
@@ -15,7 +16,6 @@
 pub mod peer_key;
 pub mod peer_server;
 pub mod platform;
-pub mod ring;
 pub mod service;
 pub mod sse;
 pub mod stall;
--- a/crates/transport/src/metric.rs
+++ b/crates/transport/src/metric.rs
@@ -19,7 +19,7 @@
 pub const LOG_COMMITTED: &str = "hibiscushoist_log_committed";
 /// Counts reads of the list of upstreams that failed.
 pub const LIST_FAILURES: &str = "hibiscushoist_list_failures_total";
-/// Counts messages of the replicated log that were dropped because their ring was full.
+/// Counts messages of the replicated log that were dropped because their channel was full.
 pub const LOG_DROPS: &str = "hibiscushoist_log_drops_total";
 /// Counts synced writes of the replicated log.
 pub const LOG_SYNCS: &str = "hibiscushoist_log_syncs_total";
