--- a/crates/coordination/src/shard.rs
+++ b/crates/coordination/src/shard.rs
@@ -56,7 +56,7 @@
     brokers(view).max_by_key(score)
 }
 
-/// Returns the upstreams that this host owns. Stores of KV caches belong to every shard, so every
+/// Returns the upstreams that this host owns. KV stores belong to every shard, so every
 /// host that owns a shard owns them.
 pub fn owned(view: &View, table: &Table) -> BTreeSet<String> {
     let shards = count(table);
--- a/crates/coordination/tests/assignment.rs
+++ b/crates/coordination/tests/assignment.rs
@@ -94,13 +94,13 @@
 #[test]
 fn an_assignment_counts_once_before_and_after_its_host_reports_it() {
     let fleet = fleet(&[("e", 1)]);
-    let (mut assigner, mut tally, mut host) = (
+    let (mut assigner, mut aggregator, mut host) = (
         Assigner::new(0),
         LoadAggregator::default(),
         Dispatcher::new(1),
     );
     let first = request("p");
-    let choice = assigner.assign(Instant(0), &fleet, tally.total(), first.clone());
+    let choice = assigner.assign(Instant(0), &fleet, aggregator.total(), first.clone());
     let choice = choice.unwrap();
     assert_eq!(choice.backlog_ms, 0);
     let late = Demand {
@@ -112,15 +112,15 @@
         demand: late.clone(),
     };
     let before = assigner
-        .assign(Instant(50), &fleet, tally.total(), next())
+        .assign(Instant(50), &fleet, aggregator.total(), next())
         .unwrap();
     let (reported, loads) = report(&mut host, Instant(60), &choice, &first.demand);
     let (reported_next, _) = report(&mut Dispatcher::new(2), Instant(60), &before, &late);
-    tally.report(Instant(90), "h", loads);
+    aggregator.report(Instant(90), "h", loads);
     assigner.record_report(Instant(90), &reported, &[]);
     assigner.record_report(Instant(90), &reported_next, &[]);
     let after = assigner
-        .assign(Instant(91), &fleet, tally.total(), next())
+        .assign(Instant(91), &fleet, aggregator.total(), next())
         .unwrap();
     assert_eq!(before.backlog_ms, after.backlog_ms);
     assert!(before.backlog_ms > 600, "{}", before.backlog_ms);
--- a/crates/coordination/tests/prefix_index.rs
+++ b/crates/coordination/tests/prefix_index.rs
@@ -28,29 +28,29 @@
 
 #[test]
 fn the_engine_with_the_newest_entry_comes_first() {
-    let mut holders = PrefixIndex::default();
-    holders.record_local(Instant(0), at("a", "p"));
-    holders.record_remote(Instant(10), vec![at("b", "p")]);
-    assert_eq!(holders.engines(Instant(20), &prefix("p", 1)), ["b", "a"]);
-    holders.record_local(Instant(30), at("a", "p"));
-    assert_eq!(holders.engines(Instant(40), &prefix("p", 1)), ["a", "b"]);
+    let mut index = PrefixIndex::default();
+    index.record_local(Instant(0), at("a", "p"));
+    index.record_remote(Instant(10), vec![at("b", "p")]);
+    assert_eq!(index.engines(Instant(20), &prefix("p", 1)), ["b", "a"]);
+    index.record_local(Instant(30), at("a", "p"));
+    assert_eq!(index.engines(Instant(40), &prefix("p", 1)), ["a", "b"]);
 }
 
 #[test]
 fn a_prefix_with_other_weights_or_of_another_workspace_is_a_different_key() {
-    let mut holders = PrefixIndex::default();
-    holders.record_local(Instant(0), at("a", "p@w1"));
+    let mut index = PrefixIndex::default();
+    index.record_local(Instant(0), at("a", "p@w1"));
     for other in [prefix("p@w1", 2), prefix("p", 1), prefix("p@w2", 1)] {
-        assert!(holders.engines(Instant(1), &other).is_empty(), "{other:?}");
+        assert!(index.engines(Instant(1), &other).is_empty(), "{other:?}");
     }
 }
 
 #[test]
 fn an_entry_expires_when_it_is_not_renewed() {
-    let mut holders = PrefixIndex::default();
-    holders.record_local(Instant(0), at("a", "p"));
-    assert!(!holders.engines(Instant(10_000), &prefix("p", 1)).is_empty());
-    assert!(holders.engines(Instant(10_001), &prefix("p", 1)).is_empty());
+    let mut index = PrefixIndex::default();
+    index.record_local(Instant(0), at("a", "p"));
+    assert!(!index.engines(Instant(10_000), &prefix("p", 1)).is_empty());
+    assert!(index.engines(Instant(10_001), &prefix("p", 1)).is_empty());
 }
 
 #[test]
