--- a/crates/state/src/cache_directory.rs
+++ b/crates/state/src/cache_directory.rs
@@ -92,10 +92,13 @@
 /// State of the event stream of one upstream.
 #[derive(Clone, Debug)]
 struct EventFeed {
+    /// Batches since the gap, for replay over the next snapshot.
     buffer: VecDeque<Batch>,
     buffered_changes: usize,
+    /// Time since which changes are missing.
     gap_since: Option<Instant>,
     incarnation: Incarnation,
+    /// Holder id of the upstream's entries in the index, if it has any.
     holder_id: Option<HolderId>,
     next_sequence: u64,
     version: String,
@@ -115,11 +118,15 @@
 /// Tracks which blocks each upstream holds, and which it will hold soon.
 #[derive(Clone, Debug)]
 pub struct CacheDirectory {
+    /// Expected blocks, with the upstreams and the times at which the expectation expires.
     expected: HashMap<BlockHash, Vec<(UpstreamIndex, Instant)>>,
+    /// Entries of `expected` in order of expiry.
     expiries: VecDeque<(Instant, BlockHash, UpstreamIndex)>,
     feeds: Vec<Option<EventFeed>>,
     index: BlockIndex,
+    /// Use of each holder id.
     holder_ids: Vec<HolderIdState>,
+    /// Segment of the index at which the sweep goes on.
     next_segment: usize,
     completed_sweeps: u64,
 }
@@ -228,19 +235,19 @@
         for block in &snapshot.blocks {
             self.apply_change(upstream, Change::Stored(*block));
         }
-        let mut reached = snapshot.sequence;
+        let mut next = snapshot.sequence;
         let mut gap = false;
         for batch in buffer {
-            gap |= batch.sequence > reached;
-            let skip = reached.saturating_sub(batch.sequence) as usize;
-            reached = reached.max(batch.sequence + batch.changes.len() as u64);
+            gap |= batch.sequence > next;
+            let skip = next.saturating_sub(batch.sequence) as usize;
+            next = next.max(batch.sequence + batch.changes.len() as u64);
             for change in batch.changes.iter().skip(skip) {
                 self.apply_change(upstream, *change);
             }
         }
         let feed = self.feed_mut(upstream);
-        gap |= reached < feed.next_sequence;
-        feed.next_sequence = feed.next_sequence.max(reached);
+        gap |= next < feed.next_sequence;
+        feed.next_sequence = feed.next_sequence.max(next);
         feed.gap_since = gap.then_some(now);
         if gap { Outcome::Gap } else { Outcome::Applied }
     }
@@ -251,18 +258,19 @@
             cached: vec![0; self.feeds.len()],
             cached_or_expected: vec![0; self.feeds.len()],
         };
-        for (at, block) in blocks.iter().enumerate() {
-            let at = at as u32;
+        for (position, block) in blocks.iter().enumerate() {
+            let position = position as u32;
             let mut advanced = false;
             self.index.holders(*block, |holder_id| {
                 if let HolderIdState::Live(upstream) = self.holder_ids[usize::from(holder_id.0)] {
-                    extend_prefix(&mut prefixes.cached, upstream, at);
-                    advanced |= extend_prefix(&mut prefixes.cached_or_expected, upstream, at);
+                    extend_prefix(&mut prefixes.cached, upstream, position);
+                    advanced |= extend_prefix(&mut prefixes.cached_or_expected, upstream, position);
                 }
             });
             for (upstream, expires) in self.expected.get(block).into_iter().flatten() {
                 if *expires > now {
-                    advanced |= extend_prefix(&mut prefixes.cached_or_expected, *upstream, at);
+                    advanced |=
+                        extend_prefix(&mut prefixes.cached_or_expected, *upstream, position);
                 }
             }
             if !advanced {
@@ -499,11 +507,11 @@
     }
 }
 
-/// Extends the upstream's prefix by the block at position `at`, if it holds all blocks before it.
-fn extend_prefix(depths: &mut [u32], upstream: UpstreamIndex, at: u32) -> bool {
+/// Extends the upstream's prefix by the block at `position`, if it holds all blocks before it.
+fn extend_prefix(depths: &mut [u32], upstream: UpstreamIndex, position: u32) -> bool {
     match depths.get_mut(usize::from(upstream.0)) {
-        Some(depth) if *depth == at => {
-            *depth = at + 1;
+        Some(depth) if *depth == position => {
+            *depth = position + 1;
             true
         }
         _ => false,
--- a/crates/state/src/fair_queue.rs
+++ b/crates/state/src/fair_queue.rs
@@ -42,18 +42,23 @@
     pub per_caller: usize,
 }
 
+/// Waiting items of one caller.
 #[derive(Clone, Debug)]
 struct CallerQueue<T> {
     items: VecDeque<T>,
     start_tag: u64,
 }
 
+/// Callers of one workspace.
 #[derive(Clone, Debug)]
 struct WorkspaceQueue<T> {
     virtual_time: u64,
+    /// Callers with waiting items.
     flows: BTreeMap<String, CallerQueue<T>>,
+    /// Start tags of callers without waiting items.
     idle: BTreeMap<String, u64>,
     len: usize,
+    /// Callers with waiting items, by start tag.
     order: BTreeSet<(u64, String)>,
     start_tag: u64,
     weight: u64,
@@ -63,8 +68,10 @@
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
     virtual_time: u64,
+    /// Workspaces, including those without waiting items.
     groups: BTreeMap<String, WorkspaceQueue<T>>,
     len: usize,
+    /// Workspaces with waiting items, by start tag.
     order: BTreeSet<(u64, String)>,
 }
 
@@ -136,24 +143,24 @@
         limits: SearchLimits,
         mut decide: impl FnMut(&T) -> Verdict,
     ) -> Option<T> {
-        let mut left = limits.total;
+        let mut remaining = limits.total;
         let mut found = None;
         for (_, workspace) in &self.order {
             let group = &self.groups[workspace];
-            match group.find(limits.per_caller, &mut left, &mut decide) {
-                Search::Found(caller, at, work) => {
-                    found = Some((workspace.clone(), caller, at, work));
+            match group.find(limits.per_caller, &mut remaining, &mut decide) {
+                Search::Found(caller, position, work) => {
+                    found = Some((workspace.clone(), caller, position, work));
                     break;
                 }
                 Search::Nothing => {}
                 Search::Stopped => return None,
             }
         }
-        let (workspace, caller, at, work) = found?;
+        let (workspace, caller, position, work) = found?;
         let group = self.groups.get_mut(&workspace).expect("group was found");
         self.order.remove(&(group.start_tag, workspace.clone()));
         self.virtual_time = self.virtual_time.max(group.start_tag);
-        let item = group.pop(&caller, at, work);
+        let item = group.pop(&caller, position, work);
         group.start_tag += weighted(work, group.weight);
         if group.len > 0 {
             self.order.insert((group.start_tag, workspace));
@@ -175,7 +182,9 @@
     }
 }
 
+/// Result of the search in one workspace.
 enum Search {
+    /// Caller, position of the item in the caller's queue, and the work to charge.
     Found(String, usize, u64),
     Nothing,
     Stopped,
@@ -194,34 +203,35 @@
         }
     }
 
+    /// Finds the next item of this workspace that `decide` takes.
     fn find(
         &self,
         per_caller: usize,
-        left: &mut usize,
+        remaining: &mut usize,
         decide: &mut impl FnMut(&T) -> Verdict,
     ) -> Search {
         for (_, caller) in &self.order {
             let items = &self.flows[caller].items;
-            for (at, item) in items.iter().take(per_caller).enumerate() {
-                if *left == 0 {
+            for (position, item) in items.iter().take(per_caller).enumerate() {
+                if *remaining == 0 {
                     return Search::Stopped;
                 }
-                *left -= 1;
+                *remaining -= 1;
                 match decide(item) {
                     Verdict::Skip => {}
                     Verdict::Stop => return Search::Stopped,
-                    Verdict::Take(work) => return Search::Found(caller.clone(), at, work),
+                    Verdict::Take(work) => return Search::Found(caller.clone(), position, work),
                 }
             }
         }
         Search::Nothing
     }
 
-    fn pop(&mut self, caller: &str, at: usize, work: u64) -> Option<T> {
+    fn pop(&mut self, caller: &str, position: usize, work: u64) -> Option<T> {
         let mut flow = self.flows.remove(caller)?;
         self.order.remove(&(flow.start_tag, caller.to_owned()));
         self.virtual_time = self.virtual_time.max(flow.start_tag);
-        let item = flow.items.remove(at)?;
+        let item = flow.items.remove(position)?;
         self.len -= 1;
         flow.start_tag += work;
         self.requeue(caller, flow);
@@ -266,6 +276,7 @@
         self.len == 0
     }
 
+    /// Puts a caller's queue back under its new start tag, or records it as idle.
     fn requeue(&mut self, caller: &str, flow: CallerQueue<T>) {
         if flow.items.is_empty() {
             self.idle.insert(caller.to_owned(), flow.start_tag);
--- a/crates/state/src/history.rs
+++ b/crates/state/src/history.rs
@@ -17,8 +17,8 @@
 /// An accepted edit.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// Log time of the edit, in milliseconds.
-    pub at: u64,
+    /// Time of the edit in the replicated log, in milliseconds.
+    pub log_time_ms: u64,
     /// The edit, with its author.
     pub edit: Edit,
     /// Table revision that the edit produced.
@@ -40,15 +40,15 @@
 }
 
 impl History {
-    /// Applies `edit` to `table` at the log time `at`, or repeats the answer that its key got
-    /// before.
+    /// Applies `edit` to `table` at the time `log_time_ms` of the replicated log, or repeats the
+    /// answer that its key got before.
     ///
     /// # Errors
     ///
     /// Returns an error if the edit is invalid, or if its key was used for another edit.
     pub fn apply(
         &mut self,
-        at: u64,
+        log_time_ms: u64,
         table: &mut Table,
         edit: &Edit,
     ) -> Result<Receipt, table::Error> {
@@ -63,7 +63,7 @@
         let result = table.apply(edit);
         if let Ok(receipt) = &result {
             self.changes.push_back(Change {
-                at,
+                log_time_ms,
                 edit: edit.clone(),
                 revision: receipt.revision,
             });
--- a/crates/state/src/ledger.rs
+++ b/crates/state/src/ledger.rs
@@ -164,7 +164,7 @@
 
 /// Entry of the list of settled records, oldest first; outdated if the record was settled again.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct Settled {
+struct SettledEntry {
     at: u64,
     id: u128,
 }
@@ -173,13 +173,17 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ledger {
     attempts: u64,
+    /// Bytes of all kept answers.
     bytes: usize,
     limits: Limits,
+    /// Running attempts by deadline.
     deadlines: BTreeSet<(u64, u128)>,
     records: BTreeMap<u128, Record>,
+    /// Ids without records, in order of expiry.
     retired: VecDeque<RetiredBucket>,
     retired_len: usize,
-    settled: VecDeque<Settled>,
+    /// Settled records, oldest first.
+    settled: VecDeque<SettledEntry>,
 }
 
 impl Default for Ledger {
@@ -322,8 +326,9 @@
         self.settled.len() > self.limits.max_answers || self.bytes > self.limits.max_bytes
     }
 
+    /// Drops the record that was settled first; its id is kept if the call ran or may have run.
     fn drop_oldest_answer(&mut self) {
-        let Some(Settled { at, id }) = self.settled.pop_front() else {
+        let Some(SettledEntry { at, id }) = self.settled.pop_front() else {
             return;
         };
         let current = |record: &Record| match record.phase {
@@ -342,6 +347,7 @@
         }
     }
 
+    /// Keeps the id of a call settled at `at`, so that repeats are refused.
     fn retain_id(&mut self, at: u64, id: u128) {
         let width = (self.limits.dedup_window_ms / BUCKETS_PER_WINDOW).max(1);
         let margin = self.limits.dedup_window_ms / CLOCK_MARGIN_DIVISOR;
@@ -375,6 +381,7 @@
         Decision::Run(attempt)
     }
 
+    /// Starts another attempt after one that did not run the call, unless `intent` is a late copy.
     fn start_again(&mut self, now: u64, id: u128, intent: &Intent) -> Decision {
         let record = self.records.get(&id);
         let late = |r: &Record| {
@@ -404,7 +411,7 @@
             self.records.remove(&id);
             self.retain_id(now, id);
         } else {
-            self.settled.push_back(Settled { at: now, id });
+            self.settled.push_back(SettledEntry { at: now, id });
         }
     }
 }
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -146,6 +146,7 @@
             .map(|(name, row)| (name.row.as_str(), row))
     }
 
+    /// Returns the cells of the row after the edit, or `None` if the edit removes the row.
     fn changed_cells(&self, edit: &Edit) -> Result<Option<BTreeMap<Column, Cell>>, Error> {
         let sheet = edit.name.sheet;
         let mut cells = BTreeMap::new();
@@ -175,6 +176,7 @@
         }
     }
 
+    /// Checks the name and the revision of the row that is edited.
     fn check_revision(&self, edit: &Edit) -> Result<(), Error> {
         let name = edit.name.clone();
         if !cell::is_name(&name.row) {
@@ -197,6 +199,7 @@
         Ok(())
     }
 
+    /// Checks that a listed model which the row serves keeps an upstream that serves it.
     fn check_model_still_served(
         &self,
         edit: &Edit,
--- a/crates/state/tests/history.rs
+++ b/crates/state/tests/history.rs
@@ -104,7 +104,7 @@
     fixture.set("a", Column::Weight, "7").expect("weight fits");
     let cells = BTreeMap::from([(Column::Weight, Some("7".to_owned()))]);
     let change = Change {
-        at: 5,
+        log_time_ms: 5,
         edit: edit(Sheet::Upstreams, "a", 2, Action::Set(cells)),
         revision: 3,
     };
