--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -36,10 +36,10 @@
 use state::routing::Target;
 use state::routing::Workspace;
 use state::time::Instant;
+use transport::connection_pool::ConnectionPool;
 use transport::event;
 use transport::event::Event;
 use transport::http::Body;
-use transport::lane::Lanes;
 
 /// Gives how long a caller should wait when this host has lost the leader or a route has no service
 /// to go to, in milliseconds: time to try another host, and for a newer table to arrive.
@@ -58,7 +58,7 @@
     /// Chooses upstreams.
     pub dispatcher: Mutex<Dispatcher>,
     /// Holds the connections to upstreams.
-    pub lanes: Lanes,
+    pub connection_pool: ConnectionPool,
     /// Shows what this host knows.
     pub routing: routing_snapshot::Handle,
     /// Bounds requests that go to a second upstream.
@@ -70,7 +70,7 @@
     pub fn new(routing: routing_snapshot::Handle) -> Self {
         Self {
             dispatcher: Mutex::new(Dispatcher::new(rand::random())),
-            lanes: Lanes::default(),
+            connection_pool: ConnectionPool::default(),
             routing,
             retry_budgets: Mutex::new(RetryBudgets::new(budget(0, 0, 1), rand::random())),
         }
@@ -103,7 +103,7 @@
             let fleet = snapshot.borrow_and_update().fleet.clone();
             self.dispatcher().sync(&fleet);
             let addresses: Vec<_> = fleet.upstreams.iter().map(|u| u.address).collect();
-            self.lanes.retain(&addresses);
+            self.connection_pool.retain(&addresses);
             let seen = view.borrow_and_update().clone();
             let hosts = seen.present(Role::Entry).filter(takes_callers);
             let hosts = hosts.count().max(1) as u64;
--- a/crates/hibiscushoistd/src/gateway_attempt.rs
+++ b/crates/hibiscushoistd/src/gateway_attempt.rs
@@ -25,8 +25,8 @@
 use platform::caller::Forward;
 use state::routing::Kind;
 use state::time::Instant;
-use transport::lane;
-use transport::lane::Lane;
+use transport::connection_pool;
+use transport::connection_pool::PooledConnection;
 
 /// Bounds the time to connect to an upstream; a connection within a region takes a few
 /// milliseconds.
@@ -79,7 +79,7 @@
     /// Tells where the request went and what that was chosen by.
     pub choice: Choice,
     facts: Facts,
-    lane: Lane,
+    connection: PooledConnection,
     response: Response<Incoming>,
     /// Gives when the request was sent.
     pub sent: Instant,
@@ -97,9 +97,14 @@
     }
 
     /// Returns the body with its connection, how long that may be kept, and the request under way.
-    pub fn into_stream(self) -> (Incoming, Lane, Option<Duration>, InFlightGuard) {
+    pub fn into_stream(self) -> (Incoming, PooledConnection, Option<Duration>, InFlightGuard) {
         let keep = keep(&self.facts);
-        (self.response.into_body(), self.lane, keep, self.in_flight)
+        (
+            self.response.into_body(),
+            self.connection,
+            keep,
+            self.in_flight,
+        )
     }
 
     /// Returns the status of the answer.
@@ -141,7 +146,9 @@
         run,
     };
     let address = choice.upstream.address;
-    let sending = gateway.lanes.send(address, request, limits(routed));
+    let sending = gateway
+        .connection_pool
+        .send(address, request, limits(routed));
     let sent = tokio::select! {
         sent = sending => sent,
         reason = given_up(context, routed, progress, choice, &in_flight) => {
@@ -152,7 +159,7 @@
         }
     };
     let now = context.clock.now();
-    let (response, lane) = match sent {
+    let (response, connection) = match sent {
         Err(error) => {
             gateway.dispatcher().record_failure(now, &in_flight.run);
             let reason = match error.not_sent() {
@@ -197,7 +204,7 @@
     Attempt::Answered(Box::new(UpstreamAnswer {
         choice: choice.clone(),
         facts,
-        lane,
+        connection,
         response,
         sent: begun,
         in_flight,
@@ -205,10 +212,10 @@
 }
 
 /// Returns the bounds of a request's connection.
-pub fn limits(routed: &RoutedRequest) -> lane::Limits {
-    lane::Limits {
-        connect: CONNECT,
-        idle: match routed.route.is_repeatable() {
+pub fn limits(routed: &RoutedRequest) -> connection_pool::Limits {
+    connection_pool::Limits {
+        connect_timeout: CONNECT,
+        max_idle: match routed.route.is_repeatable() {
             false => IDLE_ORDER,
             true => IDLE,
         },
@@ -245,7 +252,10 @@
     }
 }
 
-fn request(routed: &RoutedRequest, headers: HeaderMap) -> Option<hyper::Request<lane::Body>> {
+fn request(
+    routed: &RoutedRequest,
+    headers: HeaderMap,
+) -> Option<hyper::Request<connection_pool::Body>> {
     let mut request = hyper::Request::new(Full::new(routed.body.clone()));
     *request.method_mut() = routed.method.clone();
     let path = routed.uri.path_and_query()?.as_str();
--- a/crates/hibiscushoistd/src/gateway_body.rs
+++ b/crates/hibiscushoistd/src/gateway_body.rs
@@ -21,14 +21,14 @@
 use crate::gateway_attempt::InFlightGuard;
 use crate::gateway_attempt::UpstreamAnswer;
 use state::time::Instant;
-use transport::lane::Lane;
+use transport::connection_pool::PooledConnection;
 
 /// Passes the body of an answer on.
 pub struct ForwardedBody {
     answer_log: AnswerLog,
     context: Arc<Context>,
     body: Incoming,
-    end: Option<(Lane, Option<Duration>)>,
+    end: Option<(PooledConnection, Option<Duration>)>,
     late: Pin<Box<Sleep>>,
     in_flight: InFlightGuard,
 }
@@ -42,12 +42,12 @@
         answer_log: AnswerLog,
     ) -> Self {
         let left = deadline.since(context.clock.now());
-        let (body, lane, keep, in_flight) = answered.into_stream();
+        let (body, connection, keep, in_flight) = answered.into_stream();
         Self {
             answer_log,
             context: context.clone(),
             body,
-            end: Some((lane, keep)),
+            end: Some((connection, keep)),
             late: Box::pin(tokio::time::sleep(Duration::from_millis(left))),
             in_flight,
         }
@@ -55,8 +55,8 @@
 
     fn complete(&mut self) {
         self.answer_log.set_outcome(Outcome::Whole);
-        if let Some((lane, Some(idle))) = self.end.take() {
-            tokio::spawn(lane.keep(idle));
+        if let Some((connection, Some(idle))) = self.end.take() {
+            tokio::spawn(connection.release(idle));
         }
     }
 }
--- a/crates/hibiscushoistd/src/gateway_placement.rs
+++ b/crates/hibiscushoistd/src/gateway_placement.rs
@@ -129,7 +129,9 @@
     let waited = now.since(routed.arrived);
     let shared_prefix = shared(routed).filter(|_| progress.exact_weights.is_none());
     let connected = match shared_prefix {
-        None => gateway.lanes.idle(gateway_attempt::limits(routed)),
+        None => gateway
+            .connection_pool
+            .idle_addresses(gateway_attempt::limits(routed)),
         Some(_) => Vec::new(),
     };
     Demand {
--- a/crates/hibiscushoistd/src/gateway_retry.rs
+++ b/crates/hibiscushoistd/src/gateway_retry.rs
@@ -338,7 +338,7 @@
     answered: UpstreamAnswer,
 ) -> Result<Response<Body>, retry::Reason> {
     let head = answered.returned_head();
-    let (body, lane, keep, in_flight) = answered.into_stream();
+    let (body, connection, keep, in_flight) = answered.into_stream();
     let left = Duration::from_millis(routed.left_ms(context.clock.now()));
     let collected = Limited::new(body, WHOLE_BYTES).collect();
     let whole: Bytes = match tokio::time::timeout(left, collected).await {
@@ -353,7 +353,7 @@
             .record_success(&in_flight.run);
     }
     if let Some(idle) = keep {
-        tokio::spawn(lane.keep(idle));
+        tokio::spawn(connection.release(idle));
     }
     let body = Full::new(whole).map_err(|never| match never {});
     Ok(Response::from_parts(head, Body::new(body)))
--- a/crates/hibiscushoistd/src/gateway_stream.rs
+++ b/crates/hibiscushoistd/src/gateway_stream.rs
@@ -151,7 +151,7 @@
 
     async fn pass(&mut self, progress: &Progress, answered: UpstreamAnswer) -> End {
         let upstream = answered.choice.upstream.id.clone();
-        let (mut body, lane, keep, in_flight) = answered.into_stream();
+        let (mut body, connection, keep, in_flight) = answered.into_stream();
         let gap = Duration::from_millis(self.routed.route.max_event_gap_ms);
         let silent = SILENT.max(gap * SILENT_GAPS);
         let mut pause = silent;
@@ -178,7 +178,7 @@
                     self.gateway.dispatcher().record_success(&in_flight.run);
                     let rest = self.splitter.finish();
                     if let Some(idle) = keep {
-                        tokio::spawn(lane.keep(idle));
+                        tokio::spawn(connection.release(idle));
                     }
                     return match rest.is_empty() || self.send(rest).await {
                         false => End::Caller,
--- a/crates/hibiscushoistd/src/steward.rs
+++ b/crates/hibiscushoistd/src/steward.rs
@@ -35,10 +35,10 @@
 use platform::listing;
 use platform::path;
 use state::time::Instant;
+use transport::connection_pool::Body;
+use transport::connection_pool::ConnectionPool;
+use transport::connection_pool::Limits;
 use transport::event;
-use transport::lane::Body;
-use transport::lane::Lanes;
-use transport::lane::Limits;
 use transport::metric;
 
 /// Bounds one call to the platform or an engine; they answer within milliseconds.
@@ -56,14 +56,14 @@
 /// Bounds the connections to the platform and to engines: opening one takes milliseconds, and
 /// engines close idle ones after a few seconds.
 const LIMITS: Limits = Limits {
-    connect: Duration::from_millis(300),
-    idle: Duration::from_millis(2_000),
+    connect_timeout: Duration::from_millis(300),
+    max_idle: Duration::from_millis(2_000),
 };
 
 struct Steward {
     context: Arc<Context>,
     events: mpsc::Sender<Event>,
-    lanes: Lanes,
+    connection_pool: ConnectionPool,
     list: SocketAddr,
     named: BTreeMap<String, BTreeMap<u64, Instant>>,
     number: u64,
@@ -85,7 +85,7 @@
     let mut steward = Steward {
         context,
         events,
-        lanes: Lanes::default(),
+        connection_pool: ConnectionPool::default(),
         list,
         named: BTreeMap::new(),
         number: 0,
@@ -225,7 +225,7 @@
         };
         let events = self.events.clone();
         let call = get(
-            self.lanes.clone(),
+            self.connection_pool.clone(),
             address,
             path::ENGINE_REPORT.to_owned(),
             Some(id.clone()),
@@ -243,9 +243,9 @@
         };
         let context = self.context.clone();
         let events = self.events.clone();
-        let lanes = self.lanes.clone();
+        let connection_pool = self.connection_pool.clone();
         tokio::spawn(async move {
-            let outcome = give(&context, &lanes, address, &order, term).await;
+            let outcome = give(&context, &connection_pool, address, &order, term).await;
             metrics::counter!(metric::RELOADS, "outcome" => <&str>::from(outcome)).increment(1);
             let details = slog::o!(
                 "upstream" => order.id.clone(),
@@ -266,7 +266,7 @@
         path: String,
         expect: Option<String>,
     ) -> Option<Bytes> {
-        get(self.lanes.clone(), address, path, expect).await
+        get(self.connection_pool.clone(), address, path, expect).await
     }
 
     /// Publishes the upstreams where something about them has changed.
@@ -317,7 +317,7 @@
 /// Gives an order, unless this host no longer leads.
 async fn give(
     context: &Context,
-    lanes: &Lanes,
+    connection_pool: &ConnectionPool,
     address: SocketAddr,
     order: &Order,
     term: u64,
@@ -337,7 +337,10 @@
     let Ok(request) = request else {
         return Outcome::Refused;
     };
-    match lanes.exchange(address, request, LIMITS, CALL_LIMIT).await {
+    match connection_pool
+        .exchange(address, request, LIMITS, CALL_LIMIT)
+        .await
+    {
         Err(error) if error.not_sent() => Outcome::Refused,
         Err(_) => Outcome::Unknown,
         Ok(response) => engine::outcome(response.status().as_u16()),
@@ -345,7 +348,7 @@
 }
 
 async fn get(
-    lanes: Lanes,
+    connection_pool: ConnectionPool,
     address: SocketAddr,
     path: String,
     expect: Option<String>,
@@ -355,7 +358,9 @@
         request = request.header(header::EXPECT_UPSTREAM, id);
     }
     let request = request.body(Body::default()).ok()?;
-    let answer = lanes.exchange(address, request, LIMITS, CALL_LIMIT).await;
+    let answer = connection_pool
+        .exchange(address, request, LIMITS, CALL_LIMIT)
+        .await;
     let response = answer
         .ok()
         .filter(|response| response.status().is_success())?;
--- a/crates/transport/src/lane.rs
+++ b/crates/transport/src/connection_pool.rs
@@ -45,7 +45,7 @@
     },
     /// Reports a connection that ended after the request may have left.
     #[error("upstream {address} cut the connection: {source}")]
-    Cut {
+    Disconnected {
         /// Names the upstream.
         address: SocketAddr,
         /// Gives the cause.
@@ -53,7 +53,7 @@
     },
     /// Reports an answer that did not end in time.
     #[error("upstream {address} did not answer within {limit:?}")]
-    Late {
+    Timeout {
         /// Names the upstream.
         address: SocketAddr,
         /// Gives the bound.
@@ -85,14 +85,14 @@
 
 /// Keeps connections for the next request.
 #[derive(Clone, Default)]
-pub struct Lanes {
+pub struct ConnectionPool {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<Idle>>>>,
 }
 
 /// Holds the connection on which an answer arrives.
-pub struct Lane {
+pub struct PooledConnection {
     address: SocketAddr,
-    lanes: Lanes,
+    pool: ConnectionPool,
     sender: SendRequest<Body>,
 }
 
@@ -100,12 +100,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Bounds the time to connect.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Bounds the time for which a connection that is used may have been idle.
-    pub idle: Duration,
+    pub max_idle: Duration,
 }
 
-impl Lanes {
+impl ConnectionPool {
     /// Sends a request to `address` and returns the head of the answer with its connection.
     ///
     /// # Errors
@@ -116,23 +116,23 @@
         address: SocketAddr,
         mut request: Request<Body>,
         limits: Limits,
-    ) -> Result<(Response<Incoming>, Lane), Error> {
-        while let Some(mut sender) = self.take(address, limits.idle) {
+    ) -> Result<(Response<Incoming>, PooledConnection), Error> {
+        while let Some(mut sender) = self.take(address, limits.max_idle) {
             match sender.try_send_request(request).await {
-                Ok(response) => return Ok((response, self.lane(address, sender))),
+                Ok(response) => return Ok((response, self.pooled(address, sender))),
                 Err(mut failure) => match failure.take_message() {
                     None => {
                         let source = failure.into_error();
-                        return Err(Error::Cut { address, source });
+                        return Err(Error::Disconnected { address, source });
                     }
                     Some(unsent) => request = unsent,
                 },
             }
         }
-        let mut sender = connect(address, limits.connect).await?;
+        let mut sender = connect(address, limits.connect_timeout).await?;
         match sender.send_request(request).await {
-            Err(source) => Err(Error::Cut { address, source }),
-            Ok(response) => Ok((response, self.lane(address, sender))),
+            Err(source) => Err(Error::Disconnected { address, source }),
+            Ok(response) => Ok((response, self.pooled(address, sender))),
         }
     }
 
@@ -149,77 +149,78 @@
         limit: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let exchange = async {
-            let (response, lane) = self.send(address, request, limits).await?;
+            let (response, connection) = self.send(address, request, limits).await?;
             let (head, body) = response.into_parts();
             let body = body.collect().await;
-            let body = body.map_err(|source| Error::Cut { address, source })?;
-            lane.keep(limits.idle).await;
+            let body = body.map_err(|source| Error::Disconnected { address, source })?;
+            connection.release(limits.max_idle).await;
             Ok(Response::from_parts(head, body.to_bytes()))
         };
         let done = timeout(limit, exchange).await;
-        done.unwrap_or(Err(Error::Late { address, limit }))
+        done.unwrap_or(Err(Error::Timeout { address, limit }))
     }
 
     /// Closes the kept connections to upstreams that are not at one of `addresses`.
     pub fn retain(&self, addresses: &[SocketAddr]) {
-        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|address, _| addresses.contains(address));
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        all.retain(|address, _| addresses.contains(address));
         let now = Instant::now();
-        for kept in idle.values_mut() {
-            kept.retain(|lane| lane.until > now && !lane.sender.is_closed());
+        for kept in all.values_mut() {
+            kept.retain(|idle| idle.until > now && !idle.sender.is_closed());
         }
     }
 
     /// Lists the addresses to which connections are kept that a request within `limits` may use.
-    pub fn idle(&self, limits: Limits) -> Vec<SocketAddr> {
+    pub fn idle_addresses(&self, limits: Limits) -> Vec<SocketAddr> {
         let now = Instant::now();
         let all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let usable = |kept: &Vec<Idle>| kept.iter().any(|idle| idle.is_usable(now, limits.idle));
+        let usable =
+            |kept: &Vec<Idle>| kept.iter().any(|idle| idle.is_usable(now, limits.max_idle));
         let open = all.iter().filter(|(_, kept)| usable(kept));
         open.map(|(address, _)| *address).collect()
     }
 
-    fn lane(&self, address: SocketAddr, sender: SendRequest<Body>) -> Lane {
-        Lane {
+    fn pooled(&self, address: SocketAddr, sender: SendRequest<Body>) -> PooledConnection {
+        PooledConnection {
             address,
-            lanes: self.clone(),
+            pool: self.clone(),
             sender,
         }
     }
 
     fn take(&self, address: SocketAddr, idle_limit: Duration) -> Option<SendRequest<Body>> {
         let now = Instant::now();
-        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.get_mut(&address)?;
-        while let Some(lane) = kept.pop() {
-            if lane.is_usable(now, idle_limit) && lane.sender.is_ready() {
-                return Some(lane.sender);
+        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let kept = all.get_mut(&address)?;
+        while let Some(idle) = kept.pop() {
+            if idle.is_usable(now, idle_limit) && idle.sender.is_ready() {
+                return Some(idle.sender);
             }
         }
         None
     }
 }
 
-impl Lane {
+impl PooledConnection {
     /// Keeps the connection for another request, at most for `idle`, once the answer has ended.
-    pub async fn keep(mut self, idle: Duration) {
+    pub async fn release(mut self, idle: Duration) {
         if self.sender.ready().await.is_err() {
             return;
         }
         let now = Instant::now();
-        let lane = Idle {
+        let connection = Idle {
             sender: self.sender,
             since: now,
             until: now + idle,
         };
         let mut all = self
-            .lanes
+            .pool
             .idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let kept = all.entry(self.address).or_default();
         if kept.len() < KEPT {
-            kept.push(lane);
+            kept.push(connection);
         }
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -2,11 +2,11 @@
 
 pub mod channel;
 pub mod clock;
+pub mod connection_pool;
 pub mod disk;
 pub mod engine;
 pub mod event;
 pub mod http;
-pub mod lane;
 pub mod log;
 pub mod log_frame;
 pub mod metric;
--- a/crates/transport/tests/lane.rs
+++ b/crates/transport/tests/connection_pool.rs
@@ -13,15 +13,15 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use transport::lane::Body;
-use transport::lane::Error;
-use transport::lane::Lanes;
-use transport::lane::Limits;
+use transport::connection_pool::Body;
+use transport::connection_pool::ConnectionPool;
+use transport::connection_pool::Error;
+use transport::connection_pool::Limits;
 
 const LIMIT: Duration = Duration::from_secs(20);
 const LIMITS: Limits = Limits {
-    connect: LIMIT,
-    idle: LIMIT,
+    connect_timeout: LIMIT,
+    max_idle: LIMIT,
 };
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
@@ -60,17 +60,21 @@
     request.body(Body::default()).unwrap()
 }
 
-async fn exchange(lanes: &Lanes, address: SocketAddr, limits: Limits) -> Result<u16, Error> {
-    let answer = lanes.exchange(address, request(), limits, LIMIT).await;
+async fn exchange(
+    pool: &ConnectionPool,
+    address: SocketAddr,
+    limits: Limits,
+) -> Result<u16, Error> {
+    let answer = pool.exchange(address, request(), limits, LIMIT).await;
     answer.map(|response| response.status().as_u16())
 }
 
 #[tokio::test]
 async fn a_connection_is_used_again() {
     let (address, opened) = upstream(ANSWER, false).await;
-    let lanes = Lanes::default();
+    let pool = ConnectionPool::default();
     for _ in 0..5 {
-        assert_matches!(exchange(&lanes, address, LIMITS).await, Ok(200));
+        assert_matches!(exchange(&pool, address, LIMITS).await, Ok(200));
     }
     assert_eq!(opened.load(Ordering::SeqCst), 1);
 }
@@ -78,13 +82,13 @@
 #[tokio::test]
 async fn a_connection_that_was_idle_for_too_long_is_not_used() {
     let (address, opened) = upstream(ANSWER, false).await;
-    let lanes = Lanes::default();
+    let pool = ConnectionPool::default();
     let limits = Limits {
-        idle: Duration::ZERO,
+        max_idle: Duration::ZERO,
         ..LIMITS
     };
     for _ in 0..3 {
-        assert_matches!(exchange(&lanes, address, limits).await, Ok(200));
+        assert_matches!(exchange(&pool, address, limits).await, Ok(200));
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(opened.load(Ordering::SeqCst), 3);
@@ -93,27 +97,27 @@
 #[tokio::test]
 async fn a_connection_is_listed_as_idle_until_it_is_too_old_or_closed() {
     let (address, _) = upstream(ANSWER, false).await;
-    let lanes = Lanes::default();
-    assert_eq!(lanes.idle(LIMITS), []);
-    assert_matches!(exchange(&lanes, address, LIMITS).await, Ok(200));
-    assert_eq!(lanes.idle(LIMITS), [address]);
+    let pool = ConnectionPool::default();
+    assert_eq!(pool.idle_addresses(LIMITS), []);
+    assert_matches!(exchange(&pool, address, LIMITS).await, Ok(200));
+    assert_eq!(pool.idle_addresses(LIMITS), [address]);
     let limits = Limits {
-        idle: Duration::ZERO,
+        max_idle: Duration::ZERO,
         ..LIMITS
     };
     tokio::time::sleep(Duration::from_millis(5)).await;
-    assert_eq!(lanes.idle(limits), []);
-    lanes.retain(&[]);
-    assert_eq!(lanes.idle(LIMITS), []);
+    assert_eq!(pool.idle_addresses(limits), []);
+    pool.retain(&[]);
+    assert_eq!(pool.idle_addresses(LIMITS), []);
 }
 
 #[tokio::test]
 async fn a_connection_to_an_upstream_that_is_gone_is_dropped() {
     let (address, opened) = upstream(ANSWER, false).await;
-    let lanes = Lanes::default();
-    assert_matches!(exchange(&lanes, address, LIMITS).await, Ok(200));
-    lanes.retain(&[]);
-    assert_matches!(exchange(&lanes, address, LIMITS).await, Ok(200));
+    let pool = ConnectionPool::default();
+    assert_matches!(exchange(&pool, address, LIMITS).await, Ok(200));
+    pool.retain(&[]);
+    assert_matches!(exchange(&pool, address, LIMITS).await, Ok(200));
     assert_eq!(opened.load(Ordering::SeqCst), 2);
 }
 
@@ -122,20 +126,20 @@
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
-    let failure = exchange(&Lanes::default(), address, LIMITS).await;
+    let failure = exchange(&ConnectionPool::default(), address, LIMITS).await;
     assert!(failure.is_err_and(|error| error.not_sent()));
 }
 
 #[tokio::test]
 async fn a_connection_that_ends_without_an_answer_may_have_carried_the_request() {
     let (address, _) = upstream(b"", true).await;
-    let failure = exchange(&Lanes::default(), address, LIMITS).await;
-    assert_matches!(failure, Err(Error::Cut { .. }));
+    let failure = exchange(&ConnectionPool::default(), address, LIMITS).await;
+    assert_matches!(failure, Err(Error::Disconnected { .. }));
 }
 
 #[tokio::test]
 async fn an_answer_that_ends_early_does_not_pass_for_a_whole_one() {
     let (address, _) = upstream(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok", true).await;
-    let failure = exchange(&Lanes::default(), address, LIMITS).await;
-    assert_matches!(failure, Err(Error::Cut { .. }));
+    let failure = exchange(&ConnectionPool::default(), address, LIMITS).await;
+    assert_matches!(failure, Err(Error::Disconnected { .. }));
 }
