--- a/crates/hibiscushoistd/src/links.rs
+++ b/crates/hibiscushoistd/src/links.rs
@@ -21,7 +21,7 @@
 use transport::clock;
 use transport::peer_handshake::Identity;
 use transport::peer_key::Key;
-use transport::peer_key::Ring;
+use transport::peer_key::Keyring;
 
 /// Holds what connects this host with the other daemons.
 pub struct Links {
@@ -95,7 +95,7 @@
     Identity {
         fleet: settings.fleet.clone(),
         host: settings.name.clone(),
-        keys: Ring {
+        keys: Keyring {
             current: Key::new(peer.key),
             previous: peer.previous_key.map(Key::new),
         },
--- a/crates/transport/src/peer_handshake.rs
+++ b/crates/transport/src/peer_handshake.rs
@@ -18,7 +18,7 @@
 use crate::peer_frame;
 use crate::peer_frame::Codec;
 use crate::peer_key::Key;
-use crate::peer_key::Ring;
+use crate::peer_key::Keyring;
 use crate::peer_key::Tag;
 use protocol::peer::VERSION;
 
@@ -37,7 +37,7 @@
     /// Names the host.
     pub host: String,
     /// Holds the fleet's keys.
-    pub keys: Ring,
+    pub keys: Keyring,
 }
 
 /// Tells a client that shares a key why it was refused.
--- a/crates/transport/src/peer_key.rs
+++ b/crates/transport/src/peer_key.rs
@@ -103,14 +103,14 @@
 
 /// Holds the key in force and, during a rotation, the one before or after it.
 #[derive(Clone, Debug)]
-pub struct Ring {
+pub struct Keyring {
     /// Holds the key that new connections use.
     pub current: Key,
     /// Holds another key that is still accepted.
     pub previous: Option<Key>,
 }
 
-impl Ring {
+impl Keyring {
     /// Iterates over the keys, the current one first.
     pub fn iter(&self) -> impl Iterator<Item = &Key> {
         std::iter::once(&self.current).chain(&self.previous)
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -47,7 +47,7 @@
 use transport::peer_handshake::Identity;
 use transport::peer_handshake::Refusal;
 use transport::peer_key::Key;
-use transport::peer_key::Ring;
+use transport::peer_key::Keyring;
 use transport::peer_server;
 
 const LIMIT: Duration = Duration::from_secs(60);
@@ -156,7 +156,7 @@
     Identity {
         fleet: fleet.to_owned(),
         host: format!("host-{current}"),
-        keys: Ring {
+        keys: Keyring {
             current: Key::new([current; 32]),
             previous: previous.map(|byte| Key::new([byte; 32])),
         },
