--- a/crates/hibiscushoistd/src/keeper.rs
+++ b/crates/hibiscushoistd/src/keeper.rs
@@ -15,10 +15,10 @@
 use transport::disk;
 use transport::disk::Disk;
 use transport::disk::Folder;
+use transport::disk_frame;
+use transport::disk_frame::ReadOutcome;
 use transport::event;
 use transport::event::Event;
-use transport::log_frame;
-use transport::log_frame::Found;
 use transport::metric;
 
 const FILE: &str = "table";
@@ -86,13 +86,13 @@
 
 fn read(folder: &Folder) -> Option<Arc<Table>> {
     let bytes = folder.read(FILE).ok()?;
-    match log_frame::read::<Table>(&bytes, 0) {
-        Found::Frame { value, .. } => Some(Arc::new(value)),
-        Found::Damaged | Found::End | Found::Torn => None,
+    match disk_frame::read::<Table>(&bytes, 0) {
+        ReadOutcome::Frame { value, .. } => Some(Arc::new(value)),
+        ReadOutcome::Damaged | ReadOutcome::End | ReadOutcome::Torn => None,
     }
 }
 
 fn save(folder: &mut Folder, table: &Table) -> io::Result<()> {
-    let bytes = log_frame::encode(table).map_err(io::Error::other)?;
-    disk::replace(folder, FILE, &bytes)
+    let bytes = disk_frame::encode(table).map_err(io::Error::other)?;
+    disk::replace_atomically(folder, FILE, &bytes)
 }
--- a/crates/hibiscushoistd/src/voter_disk.rs
+++ b/crates/hibiscushoistd/src/voter_disk.rs
@@ -17,8 +17,8 @@
 use transport::event;
 use transport::event::Event;
 use transport::metric;
-use transport::store;
-use transport::store::Store;
+use transport::raft_store;
+use transport::raft_store::RaftStore;
 
 const FULL_PAUSE: Duration = Duration::from_secs(1);
 const IDLE: Duration = Duration::from_millis(200);
@@ -83,7 +83,7 @@
 ///
 /// Returns an error when the thread cannot be started.
 pub fn start(
-    store: Option<Store<Folder>>,
+    store: Option<RaftStore<Folder>>,
     calls: channel::Sender<Call>,
     log: Logger,
 ) -> io::Result<Writer> {
@@ -97,7 +97,7 @@
 }
 
 fn run(
-    mut store: Option<Store<Folder>>,
+    mut store: Option<RaftStore<Folder>>,
     jobs: &channel::Receiver<Job>,
     calls: &channel::Sender<Call>,
     progress: &Progress,
@@ -128,11 +128,11 @@
 }
 
 /// Writes until it succeeds; returns `false` when the disk cannot be used any more.
-fn write(store: &mut Store<Folder>, records: &[Record], log: &Logger) -> bool {
+fn write(store: &mut RaftStore<Folder>, records: &[Record], log: &Logger) -> bool {
     loop {
         metrics::counter!(metric::LOG_SYNCS).increment(1);
         match store.write(records.to_vec()) {
-            Err(store::Error::Full) => {
+            Err(raft_store::Error::Full) => {
                 event::emit(log, Event::DiskFull, slog::o!());
                 thread::sleep(FULL_PAUSE);
             }
--- a/crates/hibiscushoistd/src/voter_start.rs
+++ b/crates/hibiscushoistd/src/voter_start.rs
@@ -36,7 +36,7 @@
 use transport::disk;
 use transport::event;
 use transport::event::Event;
-use transport::store::Store;
+use transport::raft_store::RaftStore;
 
 const RING_CALLS: usize = 4_096;
 
@@ -94,8 +94,8 @@
     let folder = settings.data.as_ref().map(|data| data.join("log"));
     let store = folder.map(|folder| open(folder, log)).transpose()?;
     let fresh = MemberId(rand::random());
-    let identity = store.as_ref().map_or(fresh, Store::identity);
-    let recovered = store.as_ref().map(Store::recovered).cloned();
+    let identity = store.as_ref().map_or(fresh, RaftStore::identity);
+    let recovered = store.as_ref().map(RaftStore::recovered).cloned();
     let recovered = recovered.unwrap_or_default();
     let empty = recovered == Recovered::default();
     let raft_settings = raft_settings::Settings::default();
@@ -154,11 +154,14 @@
     tokio::spawn(upkeep.run());
 }
 
-fn open(folder: std::path::PathBuf, log: &Logger) -> Result<Store<disk::Folder>, Report<Start>> {
+fn open(
+    folder: std::path::PathBuf,
+    log: &Logger,
+) -> Result<RaftStore<disk::Folder>, Report<Start>> {
     let locked = disk::Folder::open(folder).change_context(Start::Folder)?;
-    let opened = Store::open(locked, MemberId(rand::random()));
+    let opened = RaftStore::open(locked, MemberId(rand::random()));
     let (store, report) = opened.change_context(Start::Folder)?;
-    if report.torn {
+    if report.torn_tail {
         event::emit(log, Event::LogTorn, slog::o!());
     }
     let details = slog::o!(
--- a/crates/transport/examples/durability.rs
+++ b/crates/transport/examples/durability.rs
@@ -30,7 +30,7 @@
 use state::row::Name;
 use state::sheet::Sheet;
 use transport::disk::Folder;
-use transport::store::Store;
+use transport::raft_store::RaftStore;
 
 const BATCHES: [u64; 4] = [1, 16, 128, 1_024];
 const CALLS: u64 = 200_000;
@@ -48,11 +48,11 @@
     fs::remove_dir_all(&folder).expect("the folder goes");
 }
 
-fn fresh(folder: &Path, name: &str) -> Store<Folder> {
+fn fresh(folder: &Path, name: &str) -> RaftStore<Folder> {
     let path = folder.join(name);
     let _ = fs::remove_dir_all(&path);
     let disk = Folder::open(path).expect("the folder opens");
-    Store::open(disk, MemberId(1))
+    RaftStore::open(disk, MemberId(1))
         .expect("the folder is empty")
         .0
 }
@@ -88,7 +88,7 @@
         drop(store);
         let began = Instant::now();
         let disk = Folder::open(folder.join("recovery")).expect("the folder opens");
-        let (store, report) = Store::open(disk, MemberId(1)).expect("the log is whole");
+        let (store, report) = RaftStore::open(disk, MemberId(1)).expect("the log is whole");
         let read = began.elapsed();
         let mut machine = StateMachine::default();
         for entry in &store.recovered().entries {
--- a/crates/transport/src/disk.rs
+++ b/crates/transport/src/disk.rs
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// Returns the system's error.
-    fn cut(&mut self, file: &str, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, file: &str, length: u64) -> io::Result<()>;
 
     /// Lists the files in order of name.
     ///
@@ -83,8 +83,8 @@
 /// # Errors
 ///
 /// Returns the system's error.
-pub fn replace(disk: &mut impl Disk, file: &str, bytes: &[u8]) -> io::Result<()> {
-    draft(disk, file, bytes)?;
+pub fn replace_atomically(disk: &mut impl Disk, file: &str, bytes: &[u8]) -> io::Result<()> {
+    write_draft(disk, file, bytes)?;
     publish(disk, file)
 }
 
@@ -93,7 +93,7 @@
 /// # Errors
 ///
 /// Returns the system's error; the file is as before.
-pub fn draft(disk: &mut impl Disk, file: &str, bytes: &[u8]) -> io::Result<()> {
+pub fn write_draft(disk: &mut impl Disk, file: &str, bytes: &[u8]) -> io::Result<()> {
     let draft = draft_of(file);
     disk.create(&draft)?;
     disk.append(&draft, bytes)?;
@@ -192,7 +192,7 @@
         File::create(self.path.join(file)).map(drop)
     }
 
-    fn cut(&mut self, file: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
         self.file(file)?.set_len(length)
     }
 
--- a/crates/transport/src/log_frame.rs
+++ b/crates/transport/src/disk_frame.rs
@@ -8,7 +8,7 @@
 
 /// Tells what stands at a place of a file.
 #[derive(Debug, Eq, PartialEq)]
-pub enum Found<T> {
+pub enum ReadOutcome<T> {
     /// Stands for damage that has intact frames after it.
     Damaged,
     /// Stands for the end of the file.
@@ -41,21 +41,21 @@
 }
 
 /// Reads the frame at `place`.
-pub fn read<T: DeserializeOwned>(bytes: &[u8], place: usize) -> Found<T> {
+pub fn read<T: DeserializeOwned>(bytes: &[u8], place: usize) -> ReadOutcome<T> {
     if place >= bytes.len() {
-        return Found::End;
+        return ReadOutcome::End;
     }
     let decoded = intact(bytes, place).and_then(|payload| {
         let value = postcard::from_bytes(payload).ok()?;
         let next = place + HEADER + payload.len();
-        Some(Found::Frame { next, value })
+        Some(ReadOutcome::Frame { next, value })
     });
     match decoded {
         Some(frame) => frame,
         None if (place + 1..bytes.len()).any(|later| intact(bytes, later).is_some()) => {
-            Found::Damaged
+            ReadOutcome::Damaged
         }
-        None => Found::Torn,
+        None => ReadOutcome::Torn,
     }
 }
 
--- a/crates/transport/src/store.rs
+++ b/crates/transport/src/raft_store.rs
@@ -13,8 +13,8 @@
 
 use crate::disk;
 use crate::disk::Disk;
-use crate::log_frame;
-use crate::log_frame::Found;
+use crate::disk_frame;
+use crate::disk_frame::ReadOutcome;
 use coordination::quorum::MemberId;
 use coordination::raft_entry::Record;
 use coordination::raft_entry::Recovered;
@@ -71,16 +71,16 @@
 
 /// Tells what a start found.
 #[derive(Debug, Default, Eq, PartialEq)]
-pub struct Report {
+pub struct OpenReport {
     /// Counts the entries after the snapshot.
     pub entries: usize,
     /// Tells that an unfinished write at the end of the log was dropped.
-    pub torn: bool,
+    pub torn_tail: bool,
 }
 
 /// Holds a voter's data folder.
 #[derive(Debug)]
-pub struct Store<D> {
+pub struct RaftStore<D> {
     disk: D,
     generation: u64,
     identity: MemberId,
@@ -90,20 +90,20 @@
     segment: u64,
 }
 
-impl<D: Disk> Store<D> {
+impl<D: Disk> RaftStore<D> {
     /// Reads the folder; an empty one is given the identity `fresh`.
     ///
     /// # Errors
     ///
     /// Returns an error when the folder is foreign, damaged, of another version or unreadable.
-    pub fn open(mut disk: D, fresh: MemberId) -> Result<(Self, Report), Error> {
+    pub fn open(mut disk: D, fresh: MemberId) -> Result<(Self, OpenReport), Error> {
         let identity = identify(&mut disk, fresh)?;
         let files = disk.list()?;
         let generation = files.iter().filter_map(|file| first_segment(file)).max();
         let mut kept = Recovered::default();
-        let mut report = Report::default();
+        let mut report = OpenReport::default();
         if let Some(generation) = generation {
-            report.torn = read_generation(&disk, &files, generation, &mut kept)?;
+            report.torn_tail = read_generation(&disk, &files, generation, &mut kept)?;
         }
         report.entries = kept.entries.len();
         let mut store = Self {
@@ -160,13 +160,13 @@
     }
 
     fn append(&mut self, records: &[Record]) -> Result<(), Error> {
-        let frame = log_frame::encode(&records)?;
+        let frame = disk_frame::encode(&records)?;
         if self.length >= SEGMENT_BYTES {
             self.roll()?;
         }
         let file = segment(self.generation, self.segment);
         if let Err(error) = self.disk.append(&file, &frame) {
-            let undone = self.disk.cut(&file, self.length);
+            let undone = self.disk.truncate(&file, self.length);
             self.poisoned = !is_full(&error) || undone.is_err();
             return Err(self.failure(error));
         }
@@ -191,8 +191,8 @@
             Record::HardState(next.hard_state),
             Record::Entries(next.entries.clone()),
         ];
-        let log = log_frame::encode(&start)?;
-        let snapshot = log_frame::encode(&*next.snapshot)?;
+        let log = disk_frame::encode(&start)?;
+        let snapshot = disk_frame::encode(&*next.snapshot)?;
         self.write_generation(generation, &snapshot, &log)?;
         self.generation = generation;
         self.kept = next;
@@ -228,8 +228,8 @@
 
     fn write_generation(&mut self, generation: u64, snap: &[u8], log: &[u8]) -> Result<(), Error> {
         let (snapshot, log_file) = (snapshot(generation), segment(generation, 0));
-        let drafted = disk::draft(&mut self.disk, &snapshot, snap)
-            .and_then(|()| disk::draft(&mut self.disk, &log_file, log));
+        let drafted = disk::write_draft(&mut self.disk, &snapshot, snap)
+            .and_then(|()| disk::write_draft(&mut self.disk, &log_file, log));
         if let Err(error) = drafted {
             self.poisoned = !is_full(&error);
             return Err(self.failure(error));
@@ -246,12 +246,14 @@
     let files = disk.list()?;
     if files.iter().any(|file| file == FORMAT) {
         let bytes = disk.read(FORMAT)?;
-        return match log_frame::read::<Format>(&bytes, 0) {
-            Found::Frame { value, .. } if value.version == FORMAT_VERSION => Ok(value.identity),
-            Found::Frame { value, .. } => Err(Error::Version {
+        return match disk_frame::read::<Format>(&bytes, 0) {
+            ReadOutcome::Frame { value, .. } if value.version == FORMAT_VERSION => {
+                Ok(value.identity)
+            }
+            ReadOutcome::Frame { value, .. } => Err(Error::Version {
                 found: value.version,
             }),
-            Found::Damaged | Found::End | Found::Torn => Err(Error::Damaged {
+            ReadOutcome::Damaged | ReadOutcome::End | ReadOutcome::Torn => Err(Error::Damaged {
                 file: FORMAT.to_owned(),
                 place: 0,
             }),
@@ -265,7 +267,7 @@
         identity: fresh,
         version: FORMAT_VERSION,
     };
-    disk::replace(disk, FORMAT, &log_frame::encode(&format)?)?;
+    disk::replace_atomically(disk, FORMAT, &disk_frame::encode(&format)?)?;
     Ok(fresh)
 }
 
@@ -277,15 +279,15 @@
 ) -> Result<bool, Error> {
     let file = snapshot(generation);
     let bytes = disk.read(&file)?;
-    match log_frame::read::<Snapshot>(&bytes, 0) {
-        Found::Frame { value, .. } => kept.snapshot = value.into(),
-        Found::Damaged | Found::End | Found::Torn => {
+    match disk_frame::read::<Snapshot>(&bytes, 0) {
+        ReadOutcome::Frame { value, .. } => kept.snapshot = value.into(),
+        ReadOutcome::Damaged | ReadOutcome::End | ReadOutcome::Torn => {
             return Err(Error::Damaged { file, place: 0 });
         }
     }
     let own = |file: &&String| segment_of(file).is_some_and(|(own, _)| own == generation);
     let segments: Vec<&String> = files.iter().filter(own).collect();
-    let mut torn = false;
+    let mut torn_tail = false;
     for (number, file) in segments.iter().enumerate() {
         let mut place = 0;
         if segment_of(file) != Some((generation, number as u64)) {
@@ -294,24 +296,24 @@
         }
         let bytes = disk.read(file)?;
         loop {
-            match log_frame::read::<Vec<Record>>(&bytes, place) {
-                Found::End => break,
-                Found::Frame { next, value } => {
+            match disk_frame::read::<Vec<Record>>(&bytes, place) {
+                ReadOutcome::End => break,
+                ReadOutcome::Frame { next, value } => {
                     value.into_iter().for_each(|record| kept.apply(record));
                     place = next;
                 }
-                Found::Torn if number + 1 == segments.len() && (number, place) != (0, 0) => {
-                    torn = true;
+                ReadOutcome::Torn if number + 1 == segments.len() && (number, place) != (0, 0) => {
+                    torn_tail = true;
                     break;
                 }
-                Found::Damaged | Found::Torn => {
+                ReadOutcome::Damaged | ReadOutcome::Torn => {
                     let file = (*file).clone();
                     return Err(Error::Damaged { file, place });
                 }
             }
         }
     }
-    Ok(torn)
+    Ok(torn_tail)
 }
 
 fn is_full(error: &io::Error) -> bool {
--- a/crates/transport/tests/decoders.rs
+++ b/crates/transport/tests/decoders.rs
@@ -12,8 +12,8 @@
 
 use coordination::raft_entry::Record;
 use coordination::state_machine::Command;
-use transport::log_frame;
-use transport::log_frame::Found;
+use transport::disk_frame;
+use transport::disk_frame::ReadOutcome;
 use transport::peer_frame::Codec;
 use transport::peer_key::Key;
 use transport::sse::Decoder;
@@ -95,16 +95,19 @@
         at in any::<Index>(),
         change in 1u8..,
     ) {
-        let mut bytes = log_frame::encode(&first).expect("it encodes");
+        let mut bytes = disk_frame::encode(&first).expect("it encodes");
         let next = bytes.len();
-        bytes.extend(log_frame::encode(&second).expect("it encodes"));
+        bytes.extend(disk_frame::encode(&second).expect("it encodes"));
         let end = bytes.len();
-        prop_assert_eq!(log_frame::read(&bytes, 0), Found::Frame { next, value: first });
-        prop_assert_eq!(log_frame::read(&bytes, next), Found::Frame { next: end, value: second });
+        prop_assert_eq!(disk_frame::read(&bytes, 0), ReadOutcome::Frame { next, value: first });
+        prop_assert_eq!(
+            disk_frame::read(&bytes, next),
+            ReadOutcome::Frame { next: end, value: second }
+        );
         let cut = next + 1 + at.index(end - next - 1);
-        prop_assert_eq!(log_frame::read::<Vec<u8>>(&bytes[..cut], next), Found::Torn);
+        prop_assert_eq!(disk_frame::read::<Vec<u8>>(&bytes[..cut], next), ReadOutcome::Torn);
         bytes[at.index(next)] ^= change;
-        prop_assert_eq!(log_frame::read::<Vec<u8>>(&bytes, 0), Found::Damaged);
+        prop_assert_eq!(disk_frame::read::<Vec<u8>>(&bytes, 0), ReadOutcome::Damaged);
     }
 
     #[test]
@@ -112,10 +115,10 @@
         bytes in vec(any::<u8>(), 0..300),
         place in 0usize..400,
     ) {
-        let _ = log_frame::read::<Record>(&bytes, place);
-        let mut framed = log_frame::encode(&bytes).expect("it encodes");
+        let _ = disk_frame::read::<Record>(&bytes, place);
+        let mut framed = disk_frame::encode(&bytes).expect("it encodes");
         framed.truncate(place);
-        let _ = log_frame::read::<Record>(&framed, 0);
+        let _ = disk_frame::read::<Record>(&framed, 0);
     }
 
     #[test]
--- a/crates/transport/tests/store.rs
+++ b/crates/transport/tests/store.rs
@@ -20,9 +20,9 @@
 use transport::disk;
 use transport::disk::Disk;
 use transport::disk::Folder;
-use transport::store::Error;
-use transport::store::Report;
-use transport::store::Store;
+use transport::raft_store::Error;
+use transport::raft_store::OpenReport;
+use transport::raft_store::RaftStore;
 
 const ME: MemberId = MemberId(7);
 
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, file: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
         let mut platter = self.lock();
         let file = platter.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
         file.bytes.truncate(length as usize);
@@ -210,8 +210,8 @@
     ]
 }
 
-fn open(disk: &Memory) -> (Store<Memory>, Report) {
-    Store::open(disk.clone(), ME).expect("folder opens")
+fn open(disk: &Memory) -> (RaftStore<Memory>, OpenReport) {
+    RaftStore::open(disk.clone(), ME).expect("folder opens")
 }
 
 fn written(records: &[Vec<Record>]) -> Recovered {
@@ -233,7 +233,7 @@
     let (store, report) = open(&disk);
     assert_eq!(*store.recovered(), written(&script()));
     assert_eq!(report.entries, 2);
-    assert!(!report.torn);
+    assert!(!report.torn_tail);
     assert_eq!(store.identity(), ME);
 }
 
@@ -244,7 +244,7 @@
             let disk = Memory::default();
             let mut acknowledged = 0;
             disk.fail(Call::Any, call, io::ErrorKind::Other);
-            if let Ok((mut store, _)) = Store::open(disk.clone(), ME) {
+            if let Ok((mut store, _)) = RaftStore::open(disk.clone(), ME) {
                 for records in script() {
                     if store.write(records).is_err() {
                         break;
@@ -276,9 +276,9 @@
     let (store, report) = open(&disk);
     assert_eq!(
         report,
-        Report {
+        OpenReport {
             entries: 3,
-            torn: true
+            torn_tail: true
         }
     );
     assert_eq!(store.recovered().entries.len(), 3);
@@ -291,12 +291,12 @@
     store.write(vec![entries(1, 3)]).expect("disk takes it");
     store.write(vec![entries(4, 4)]).expect("disk takes it");
     let name = disk.change("log-", |bytes| bytes[50] ^= 1);
-    let error = Store::open(disk.clone(), ME).err();
+    let error = RaftStore::open(disk.clone(), ME).err();
     assert_matches!(error, Some(Error::Damaged { file, .. }) if file == name);
     let disk = Memory::default();
     open(&disk);
     let name = disk.change("snapshot-", |bytes| bytes[18] ^= 1);
-    let error = Store::open(disk.clone(), ME).err();
+    let error = RaftStore::open(disk.clone(), ME).err();
     assert_matches!(error, Some(Error::Damaged { file, .. }) if file == name);
 }
 
@@ -333,7 +333,7 @@
 fn folder_of_something_else_is_refused() {
     let mut disk = Memory::default();
     disk.create("photos").expect("disk takes it");
-    let error = Store::open(disk, ME).err();
+    let error = RaftStore::open(disk, ME).err();
     assert_matches!(error, Some(Error::Foreign { file }) if file == "photos");
 }
 
@@ -341,9 +341,9 @@
 fn folder_of_another_version_is_refused() {
     let mut disk = Memory::default();
     open(&disk);
-    let next = transport::log_frame::encode(&(ME, 2_u32)).expect("format encodes");
-    disk::replace(&mut disk, "format", &next).expect("disk takes it");
-    let error = Store::open(disk, ME).err();
+    let next = transport::disk_frame::encode(&(ME, 2_u32)).expect("format encodes");
+    disk::replace_atomically(&mut disk, "format", &next).expect("disk takes it");
+    let error = RaftStore::open(disk, ME).err();
     assert_matches!(error, Some(Error::Version { found: 2 }));
 }
 
@@ -353,11 +353,11 @@
     let held = Folder::open(&path).expect("folder opens");
     assert_matches!(Folder::open(&path), Err(disk::Error::Locked { folder }) if folder == path);
     drop(held);
-    let (mut store, _) = Store::open(Folder::open(&path).expect("freed"), ME).expect("opens");
+    let (mut store, _) = RaftStore::open(Folder::open(&path).expect("freed"), ME).expect("opens");
     store.write(script().remove(0)).expect("disk takes it");
     let kept = store.recovered().clone();
     drop(store);
-    let (store, _) = Store::open(Folder::open(&path).expect("freed"), ME).expect("opens");
+    let (store, _) = RaftStore::open(Folder::open(&path).expect("freed"), ME).expect("opens");
     assert_eq!(*store.recovered(), kept);
     drop(store);
     std::fs::remove_dir_all(path).expect("folder goes");
