--- a/crates/fakes/tests/common/mod.rs
+++ b/crates/fakes/tests/common/mod.rs
@@ -20,7 +20,7 @@
 
 pub fn limits() -> Limits {
     Limits {
-        idle: Duration::from_millis(300),
+        idle_timeout: Duration::from_millis(300),
         ..Limits::default()
     }
 }
--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -23,10 +23,10 @@
 use transport::engine::Client;
 use transport::engine::Item;
 use transport::service::Call;
-use transport::service::Ready;
+use transport::service::PreparedCall;
+use transport::upstream::EngineIdentity;
 use transport::upstream::Error;
 use transport::upstream::Limits;
-use transport::upstream::Signature;
 
 #[tokio::test]
 async fn an_answer_has_every_offset_a_finish_and_an_end_mark() {
@@ -120,7 +120,7 @@
         engine.fault(case.fault);
         let (read, error) = read(&client, &request("w", PROMPT)).await;
         let name = error.map(|error| match error {
-            Error::Cut { .. } => "cut",
+            Error::Disconnected { .. } => "cut",
             Error::Idle { .. } => "idle",
             _ => "other",
         });
@@ -217,14 +217,14 @@
     let (engine, client) = engine(|_| {}).await;
     engine.fault(|f| f.poison = Some("0123".to_owned()));
     let error = read(&client, &request("w", PROMPT)).await.1;
-    assert_matches!(error, Some(Error::Cut { .. }));
+    assert_matches!(error, Some(Error::Disconnected { .. }));
     assert_eq!(engine.counts().crashes, 1);
 }
 
 #[tokio::test]
 async fn another_incarnation_voids_an_attempt_before_any_piece() {
     let (_engine, client) = engine(|_| {}).await;
-    let planned = Signature {
+    let planned = EngineIdentity {
         incarnation: Incarnation(7),
         version: "v1".to_owned(),
     };
@@ -328,7 +328,7 @@
     let (engine, client) = engine(|_| {}).await;
     engine.freeze(true);
     let hasty = Limits {
-        head: Duration::from_millis(50),
+        head_timeout: Duration::from_millis(50),
         ..limits()
     };
     let frozen = Client::new(engine.address(), hasty).load().await;
@@ -408,11 +408,11 @@
         let service = Service::start(([127, 0, 0, 1], 0).into()).await.unwrap();
         service.fault(case.fault);
         let hasty = Limits {
-            head: Duration::from_millis(100),
+            head_timeout: Duration::from_millis(100),
             ..limits()
         };
-        let ready = Ready::open(service.address(), call("o-1"), hasty).await;
-        let outcome = match ready.unwrap().send().await {
+        let prepared = PreparedCall::open(service.address(), call("o-1"), hasty).await;
+        let outcome = match prepared.unwrap().send().await {
             Ok(answer) => Ok((answer.status, answer.not_run)),
             Err(error) => Err(error.not_run()),
         };
@@ -427,7 +427,7 @@
     let service = Service::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     service.stop();
     let error = loop {
-        match Ready::open(service.address(), call("o-1"), limits()).await {
+        match PreparedCall::open(service.address(), call("o-1"), limits()).await {
             Ok(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             Err(error) => break error,
         }
--- a/crates/fakes/tests/stores.rs
+++ b/crates/fakes/tests/stores.rs
@@ -103,7 +103,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(code(client.order(&load(2, "v3")).await), Code::Unavailable);
-    let standing = client.standing().await.unwrap();
+    let standing = client.state().await.unwrap();
     assert_eq!((standing.version.as_str(), standing.loading), ("v2", None));
 }
 
@@ -111,7 +111,7 @@
 async fn the_list_of_hosts_lags_and_numbers_its_editions() {
     let platform = Platform::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let host = [127, 0, 0, 9].into();
-    let hosts = || transport::platform::hosts(platform.address(), limits());
+    let hosts = || transport::platform::fetch_hosts(platform.address(), limits());
     platform.list(host, Some(platform::Standing::Live));
     assert_eq!(hosts().await.unwrap().edition, 1);
     platform.lag(Duration::from_secs(60));
--- a/crates/hibiscushoistd/src/attempt.rs
+++ b/crates/hibiscushoistd/src/attempt.rs
@@ -27,9 +27,9 @@
 use transport::engine::Item;
 use transport::engine::Stream;
 use transport::metric;
+use transport::upstream::EngineIdentity;
 use transport::upstream::Error;
 use transport::upstream::Limits;
-use transport::upstream::Signature;
 
 /// Bounds the tries to stop a run.
 const CANCELS: usize = 5;
@@ -37,17 +37,17 @@
 const CANCEL_PAUSE: Duration = Duration::from_millis(20);
 /// Bounds the exchanges that carry answers.
 const LIMITS: Limits = Limits {
-    body: 1 << 20,
-    connect: Duration::from_millis(1_000),
-    head: Duration::from_millis(3_000),
-    idle: Duration::from_millis(3_000),
+    body_limit: 1 << 20,
+    connect_timeout: Duration::from_millis(1_000),
+    head_timeout: Duration::from_millis(3_000),
+    idle_timeout: Duration::from_millis(3_000),
 };
 /// Bounds the exchange that stops a run and tells a crash from a cut connection.
 const CANCEL_LIMITS: Limits = Limits {
-    body: 1 << 20,
-    connect: Duration::from_millis(300),
-    head: Duration::from_millis(500),
-    idle: Duration::from_millis(500),
+    body_limit: 1 << 20,
+    connect_timeout: Duration::from_millis(300),
+    head_timeout: Duration::from_millis(500),
+    idle_timeout: Duration::from_millis(500),
 };
 /// Bounds how long a caller may take none of the parts that wait for it.
 const SLOW_CALLER: Duration = Duration::from_secs(30);
@@ -141,10 +141,10 @@
         for _ in 0..CANCELS {
             match client.cancel(self.id()).await {
                 Err(Error::Connect { .. }) => return Fate::Crashed,
-                Err(Error::Cut { .. }) => tokio::time::sleep(CANCEL_PAUSE).await,
+                Err(Error::Disconnected { .. }) => tokio::time::sleep(CANCEL_PAUSE).await,
                 Err(_) => return Fate::Unknown,
-                Ok(signed) => {
-                    let found = signed.signature.incarnation;
+                Ok(identified) => {
+                    let found = identified.identity.incarnation;
                     self.context.health.observe(&self.grant.upstream, found);
                     return match self.incarnation == Some(found) {
                         false => Fate::Crashed,
@@ -175,9 +175,9 @@
             Err(error) => return self.broken(&error),
             Ok(stream) => stream,
         };
-        let signature = stream.signature().clone();
-        self.observe(signature.incarnation);
-        if let Err(fault) = self.answer.begin_attempt(request.id, signature.version) {
+        let identity = stream.identity().clone();
+        self.observe(identity.incarnation);
+        if let Err(fault) = self.answer.begin_attempt(request.id, identity.version) {
             return faulty(&fault);
         }
         match self.read(&mut stream).await {
@@ -234,9 +234,9 @@
 
     fn broken(&mut self, error: &Error) -> Ended {
         let reason = match error {
-            Error::Body { .. } | Error::Format { .. } => Reason::Format,
+            Error::BodyTooLong { .. } | Error::Format { .. } => Reason::Format,
             Error::Connect { .. } | Error::ConnectTimeout { .. } => Reason::Connect,
-            Error::Cut { .. } => Reason::Cut,
+            Error::Disconnected { .. } => Reason::Cut,
             Error::Idle { .. } => Reason::Idle,
             Error::Mismatch { found, .. } => {
                 self.observe(found.incarnation);
@@ -254,10 +254,10 @@
         })
     }
 
-    fn planned(&self) -> Option<Signature> {
+    fn planned(&self) -> Option<EngineIdentity> {
         let incarnation = self.grant.incarnation?;
         let version = self.grant.version.clone()?;
-        Some(Signature {
+        Some(EngineIdentity {
             incarnation,
             version,
         })
--- a/crates/hibiscushoistd/src/controller.rs
+++ b/crates/hibiscushoistd/src/controller.rs
@@ -125,16 +125,16 @@
         });
     }
 
-    fn client(&self, upstream: &str, head: Duration) -> Option<Client> {
+    fn client(&self, upstream: &str, head_timeout: Duration) -> Option<Client> {
         let table = self.context.table();
         let address = table
             .get(Sheet::Upstreams, upstream)?
             .address(Column::Address)?;
         let limits = Limits {
-            body: BODY_BYTES,
-            connect: CONNECT,
-            head,
-            idle: READ_LIMIT,
+            body_limit: BODY_BYTES,
+            connect_timeout: CONNECT,
+            head_timeout,
+            idle_timeout: READ_LIMIT,
         };
         Some(Client::new(address, limits))
     }
@@ -157,7 +157,7 @@
         tokio::spawn(async move {
             let state = match client {
                 None => None,
-                Some(client) => client.standing().await.ok().map(read),
+                Some(client) => client.state().await.ok().map(read),
             };
             let _ = events.send(Event::Read { state, upstream }).await;
         });
--- a/crates/hibiscushoistd/src/feed.rs
+++ b/crates/hibiscushoistd/src/feed.rs
@@ -39,10 +39,10 @@
 /// Gives the time between two readings of one engine.
 const INTERVAL: Duration = Duration::from_millis(50);
 const LIMITS: Limits = Limits {
-    body: 64 << 20,
-    connect: Duration::from_millis(500),
-    head: Duration::from_millis(1_000),
-    idle: Duration::from_millis(1_000),
+    body_limit: 64 << 20,
+    connect_timeout: Duration::from_millis(500),
+    head_timeout: Duration::from_millis(1_000),
+    idle_timeout: Duration::from_millis(1_000),
 };
 const OFF: &str = "off";
 
--- a/crates/hibiscushoistd/src/import.rs
+++ b/crates/hibiscushoistd/src/import.rs
@@ -18,10 +18,10 @@
 /// Bounds the time after which the engine computes the blocks itself.
 const LIMIT: Duration = Duration::from_millis(2_000);
 const LIMITS: Limits = Limits {
-    body: 1 << 20,
-    connect: Duration::from_millis(500),
-    head: LIMIT,
-    idle: LIMIT,
+    body_limit: 1 << 20,
+    connect_timeout: Duration::from_millis(500),
+    head_timeout: LIMIT,
+    idle_timeout: LIMIT,
 };
 const STORE: &str = "kv_store";
 
--- a/crates/hibiscushoistd/src/order.rs
+++ b/crates/hibiscushoistd/src/order.rs
@@ -19,7 +19,7 @@
 use state::time::Instant;
 use transport::metric;
 use transport::service::Call;
-use transport::service::Ready;
+use transport::service::PreparedCall;
 use transport::upstream::Limits;
 
 /// Describes an order.
@@ -42,7 +42,7 @@
 struct Driver {
     ask: Ask,
     context: Arc<Context>,
-    ready: Option<Ready>,
+    ready: Option<PreparedCall>,
     tries: usize,
 }
 
@@ -108,7 +108,7 @@
             attempt: attempt.0,
             ..self.ask.call.clone()
         };
-        match Ready::open(*address, call, self.ask.limits).await {
+        match PreparedCall::open(*address, call, self.ask.limits).await {
             Err(_) => Event::ConnectFailed,
             Ok(ready) => {
                 self.ready = Some(ready);
--- a/crates/hibiscushoistd/src/platform.rs
+++ b/crates/hibiscushoistd/src/platform.rs
@@ -12,10 +12,10 @@
 
 const INTERVAL: Duration = Duration::from_millis(500);
 const LIMITS: Limits = Limits {
-    body: 16 << 20,
-    connect: Duration::from_millis(1_000),
-    head: Duration::from_millis(2_000),
-    idle: Duration::from_millis(2_000),
+    body_limit: 16 << 20,
+    connect_timeout: Duration::from_millis(1_000),
+    head_timeout: Duration::from_millis(2_000),
+    idle_timeout: Duration::from_millis(2_000),
 };
 
 /// Reads the list at `address` for as long as somebody looks at it; without an address the list
@@ -30,7 +30,7 @@
 
 async fn read(address: SocketAddr, publish: watch::Sender<Arc<HostList>>) {
     while !publish.is_closed() {
-        if let Ok(listing) = platform::hosts(address, LIMITS).await {
+        if let Ok(listing) = platform::fetch_hosts(address, LIMITS).await {
             publish.send_if_modified(|shown| {
                 let newer = listing.edition > shown.edition;
                 if newer {
--- a/crates/hibiscushoistd/src/service.rs
+++ b/crates/hibiscushoistd/src/service.rs
@@ -43,7 +43,7 @@
 use transport::http::Body;
 use transport::service::Answer;
 use transport::service::Call;
-use transport::service::Ready;
+use transport::service::PreparedCall;
 use transport::upstream::Error;
 use transport::upstream::Limits;
 
@@ -56,10 +56,10 @@
 const SERVICE: &str = "service";
 const SERVING: &str = "serving";
 const LIMITS: Limits = Limits {
-    body: 4 << 20,
-    connect: Duration::from_millis(1_000),
-    head: Duration::from_secs(86_400),
-    idle: Duration::from_secs(30),
+    body_limit: 4 << 20,
+    connect_timeout: Duration::from_millis(1_000),
+    head_timeout: Duration::from_secs(86_400),
+    idle_timeout: Duration::from_secs(30),
 };
 
 /// Answers a call to a plain service.
@@ -214,8 +214,8 @@
     }
 
     async fn send(&self, address: SocketAddr) -> Result<Answer, Error> {
-        let ready = Ready::open(address, self.call.clone(), LIMITS).await?;
-        ready.send().await
+        let prepared = PreparedCall::open(address, self.call.clone(), LIMITS).await?;
+        prepared.send().await
     }
 }
 
@@ -254,9 +254,9 @@
 
 fn reason(error: &Error) -> retry::Reason {
     match error {
-        Error::Body { .. } | Error::Format { .. } => retry::Reason::Format,
+        Error::BodyTooLong { .. } | Error::Format { .. } => retry::Reason::Format,
         Error::Connect { .. } | Error::ConnectTimeout { .. } => retry::Reason::Connect,
-        Error::Cut { .. } => retry::Reason::Cut,
+        Error::Disconnected { .. } => retry::Reason::Cut,
         Error::Idle { .. } => retry::Reason::Idle,
         Error::Mismatch { .. } => retry::Reason::Mismatch,
         Error::Refused { .. } => retry::Reason::Refused,
--- a/crates/hibiscushoistd/src/settings.rs
+++ b/crates/hibiscushoistd/src/settings.rs
@@ -16,7 +16,7 @@
 use crate::ini::File;
 use crate::ini::Section;
 use state::cell::is_name;
-use transport::log::Form;
+use transport::log::Format;
 
 const ADDRESS: &str = "an IP address and port such as 192.0.2.1:8000";
 const HASH: &str = "64 hexadecimal digits";
@@ -188,7 +188,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Log {
     /// Holds the form of the lines.
-    pub form: Form,
+    pub form: Format,
     /// Holds the least severity that is written.
     pub level: Level,
 }
@@ -399,7 +399,7 @@
 
 fn log(file: &File) -> Result<Log, Error> {
     Ok(Log {
-        form: file.optional("log", "form", Form::Human, "human or json", |text| {
+        form: file.optional("log", "form", Format::Human, "human or json", |text| {
             text.parse().ok()
         })?,
         level: file.optional(
--- a/crates/transport/src/engine.rs
+++ b/crates/transport/src/engine.rs
@@ -17,10 +17,10 @@
 use crate::sse;
 use crate::sse::Decoder;
 use crate::upstream::Connection;
+use crate::upstream::EngineIdentity;
 use crate::upstream::Error;
-use crate::upstream::Format;
+use crate::upstream::FormatError;
 use crate::upstream::Limits;
-use crate::upstream::Signature;
 use protocol::engine;
 use state::ident::Incarnation;
 
@@ -54,11 +54,11 @@
 
 /// Holds an answer with the signature of the engine that gave it.
 #[derive(Clone, Debug)]
-pub struct Signed<T> {
+pub struct Identified<T> {
     /// Holds the answer.
     pub answer: T,
     /// Names the run and the weights.
-    pub signature: Signature,
+    pub identity: EngineIdentity,
 }
 
 /// Reads the pieces of one answer; dropping it closes the connection and so cancels the answer.
@@ -68,7 +68,7 @@
     connection: Connection,
     decoder: Decoder,
     ready: VecDeque<Item>,
-    signature: Signature,
+    identity: EngineIdentity,
 }
 
 impl Client {
@@ -82,7 +82,10 @@
     /// # Errors
     ///
     /// Returns the error of the exchange.
-    pub async fn cancel(&self, id: impl Into<String>) -> Result<Signed<engine::Cancelled>, Error> {
+    pub async fn cancel(
+        &self,
+        id: impl Into<String>,
+    ) -> Result<Identified<engine::Cancelled>, Error> {
         let cancel = engine::Cancel { id: id.into() };
         self.post(engine::CANCEL_PATH, &cancel).await
     }
@@ -95,7 +98,7 @@
     pub async fn complete(
         &self,
         request: &engine::Request,
-        planned: Option<&Signature>,
+        planned: Option<&EngineIdentity>,
     ) -> Result<Stream, Error> {
         let request = self.request(Method::POST, engine::COMPLETIONS_PATH, Some(request))?;
         let mut connection = Connection::open(self.address, self.limits).await?;
@@ -103,12 +106,12 @@
         if !response.status().is_success() {
             return Err(self.refusal(&connection, response).await);
         }
-        let signature = self.signature(response.headers())?;
-        if let Some(expected) = planned.filter(|p| **p != signature) {
+        let identity = self.identity(response.headers())?;
+        if let Some(expected) = planned.filter(|p| **p != identity) {
             return Err(Error::Mismatch {
                 address: self.address,
                 expected: expected.clone(),
-                found: signature,
+                found: identity,
             });
         }
         Ok(Stream {
@@ -116,7 +119,7 @@
             connection,
             decoder: Decoder::new(EVENT_LIMIT),
             ready: VecDeque::new(),
-            signature,
+            identity,
         })
     }
 
@@ -180,11 +183,11 @@
     /// # Errors
     ///
     /// Returns the error of the exchange.
-    pub async fn standing(&self) -> Result<engine::State, Error> {
+    pub async fn state(&self) -> Result<engine::State, Error> {
         Ok(self.get(engine::ORDERS_PATH).await?.answer)
     }
 
-    async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<Signed<T>, Error> {
+    async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<Identified<T>, Error> {
         let request = self.request(Method::GET, path, None::<&()>)?;
         self.exchange(request).await
     }
@@ -193,7 +196,7 @@
         &self,
         path: &str,
         message: &impl Serialize,
-    ) -> Result<Signed<T>, Error> {
+    ) -> Result<Identified<T>, Error> {
         let request = self.request(Method::POST, path, Some(message))?;
         self.exchange(request).await
     }
@@ -201,7 +204,7 @@
     async fn exchange<T: DeserializeOwned>(
         &self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Signed<T>, Error> {
+    ) -> Result<Identified<T>, Error> {
         let mut connection = Connection::open(self.address, self.limits).await?;
         self.exchange_over(&mut connection, request).await
     }
@@ -210,18 +213,18 @@
         &self,
         connection: &mut Connection,
         request: Request<Full<Bytes>>,
-    ) -> Result<Signed<T>, Error> {
+    ) -> Result<Identified<T>, Error> {
         let response = connection.send(request).await?;
         if !response.status().is_success() {
             return Err(self.refusal(connection, response).await);
         }
-        let signature = self.signature(response.headers())?;
-        let bytes = connection.whole(response.into_body()).await?;
+        let identity = self.identity(response.headers())?;
+        let bytes = connection.read_body(response.into_body()).await?;
         let answer = serde_json::from_slice(&bytes).map_err(|e| self.format(e))?;
-        Ok(Signed { answer, signature })
+        Ok(Identified { answer, identity })
     }
 
-    fn format(&self, source: impl Into<Format>) -> Error {
+    fn format(&self, source: impl Into<FormatError>) -> Error {
         Error::Format {
             address: self.address,
             source: source.into(),
@@ -231,7 +234,7 @@
     async fn refusal(&self, connection: &Connection, response: Response<Incoming>) -> Error {
         let status = response.status().as_u16();
         let address = self.address;
-        let body = match connection.whole(response.into_body()).await {
+        let body = match connection.read_body(response.into_body()).await {
             Err(error) => return error,
             Ok(body) => body,
         };
@@ -254,15 +257,15 @@
         request.body(body).map_err(|e| self.format(e))
     }
 
-    fn signature(&self, headers: &HeaderMap) -> Result<Signature, Error> {
+    fn identity(&self, headers: &HeaderMap) -> Result<EngineIdentity, Error> {
         let text = |name| {
             let value = headers.get(name).and_then(|v| v.to_str().ok());
-            value.ok_or_else(|| self.format(Format::Header { name }))
+            value.ok_or_else(|| self.format(FormatError::Header { name }))
         };
         let name = engine::INCARNATION_HEADER;
         let number = text(name)?.parse();
-        let number = number.map_err(|_| self.format(Format::Header { name }))?;
-        Ok(Signature {
+        let number = number.map_err(|_| self.format(FormatError::Header { name }))?;
+        Ok(EngineIdentity {
             incarnation: Incarnation(number),
             version: text(engine::WEIGHTS_VERSION_HEADER)?.to_owned(),
         })
@@ -313,9 +316,9 @@
             None => Connection::open(client.address, client.limits).await?,
             Some(connection) => connection,
         };
-        let signed = client.exchange_over(&mut connection, request).await?;
+        let identified = client.exchange_over(&mut connection, request).await?;
         self.connection = Some(connection);
-        Ok(signed.answer)
+        Ok(identified.answer)
     }
 }
 
@@ -330,7 +333,7 @@
             if let Some(item) = self.ready.pop_front() {
                 return Ok(Some(item));
             }
-            let Some(bytes) = self.connection.chunk(&mut self.body).await? else {
+            let Some(bytes) = self.connection.next_chunk(&mut self.body).await? else {
                 return Ok(None);
             };
             self.read(&bytes)?;
@@ -338,8 +341,8 @@
     }
 
     /// Returns the run and the weights that the answer comes from.
-    pub fn signature(&self) -> &Signature {
-        &self.signature
+    pub fn identity(&self) -> &EngineIdentity {
+        &self.identity
     }
 
     fn read(&mut self, bytes: &[u8]) -> Result<(), Error> {
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -32,7 +32,7 @@
 
 use crate::event;
 use crate::event::Event;
-use crate::stall;
+use crate::write_timeout::WriteTimeoutStream;
 
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
@@ -118,7 +118,7 @@
             .half_close(false);
         let server = self.clone();
         let service = service_fn(move |request| server.clone().handle(request, peer));
-        let stream = stall::Stream::new(stream, self.limits.write_timeout);
+        let stream = WriteTimeoutStream::new(stream, self.limits.write_timeout);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let watched = graceful.watch(connection.into_owned());
         tokio::spawn(async move {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -19,5 +19,5 @@
 pub mod raft_store;
 pub mod service;
 pub mod sse;
-pub mod stall;
 pub mod upstream;
+pub mod write_timeout;
--- a/crates/transport/src/log.rs
+++ b/crates/transport/src/log.rs
@@ -14,7 +14,7 @@
 /// Names a form of log lines.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
-pub enum Form {
+pub enum Format {
     /// Writes lines for people.
     Human,
     /// Writes one JSON object a line.
@@ -27,14 +27,14 @@
 }
 
 /// Returns a logger that writes records of `level` and above to the standard output stream.
-pub fn root(form: Form, level: Level) -> Logger {
+pub fn root(form: Format, level: Level) -> Logger {
     match form {
-        Form::Human => {
+        Format::Human => {
             let decorator = slog_term::PlainDecorator::new(io::stdout());
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
             attach(drain, level)
         }
-        Form::Json => {
+        Format::Json => {
             let drain = slog_json::Json::default(io::stdout()).fuse();
             attach(drain, level)
         }
--- a/crates/transport/src/platform.rs
+++ b/crates/transport/src/platform.rs
@@ -8,7 +8,7 @@
 
 use crate::upstream::Connection;
 use crate::upstream::Error;
-use crate::upstream::Format;
+use crate::upstream::FormatError;
 use crate::upstream::Limits;
 use protocol::platform::HOSTS_PATH;
 use protocol::platform::HostList;
@@ -18,8 +18,8 @@
 /// # Errors
 ///
 /// Returns the error of the exchange.
-pub async fn hosts(address: SocketAddr, limits: Limits) -> Result<HostList, Error> {
-    let format = |source: Format| Error::Format { address, source };
+pub async fn fetch_hosts(address: SocketAddr, limits: Limits) -> Result<HostList, Error> {
+    let format = |source: FormatError| Error::Format { address, source };
     let request = Request::get(HOSTS_PATH).body(Full::<Bytes>::default());
     let request = request.map_err(|e| format(e.into()))?;
     let mut connection = Connection::open(address, limits).await?;
@@ -28,6 +28,6 @@
     if status != 200 {
         return Err(Error::Status { address, status });
     }
-    let bytes = connection.whole(response.into_body()).await?;
+    let bytes = connection.read_body(response.into_body()).await?;
     serde_json::from_slice(&bytes).map_err(|e| format(e.into()))
 }
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -9,7 +9,7 @@
 
 use crate::upstream::Connection;
 use crate::upstream::Error;
-use crate::upstream::Format;
+use crate::upstream::FormatError;
 use crate::upstream::Limits;
 use protocol::service;
 
@@ -45,12 +45,12 @@
 
 /// Holds a connection over which no byte of the call has left yet.
 #[derive(Debug)]
-pub struct Ready {
+pub struct PreparedCall {
     connection: Connection,
     request: Request<Full<Bytes>>,
 }
 
-impl Ready {
+impl PreparedCall {
     /// Connects to the service at `address` and prepares `call`.
     ///
     /// # Errors
@@ -67,7 +67,7 @@
             .body(Full::new(call.body));
         let request = request.map_err(|source| Error::Format {
             address,
-            source: Format::Request(source),
+            source: FormatError::Request(source),
         })?;
         let connection = Connection::open(address, limits).await?;
         Ok(Self {
@@ -89,7 +89,7 @@
             value.unwrap_or("").to_owned()
         };
         Ok(Answer {
-            body: self.connection.whole(body).await?,
+            body: self.connection.read_body(body).await?,
             content_type: text(CONTENT_TYPE.as_str()),
             not_run: text(service::NOT_RUN_HEADER) == service::NOT_RUN_TRUE,
             status: head.status.as_u16(),
--- a/crates/transport/src/sse.rs
+++ b/crates/transport/src/sse.rs
@@ -18,13 +18,13 @@
 pub enum Error {
     /// Reports an event or a line that is too long.
     #[error("an event is longer than {limit} bytes")]
-    Long {
+    EventTooLong {
         /// Gives the bound, in bytes.
         limit: usize,
     },
     /// Reports text that is not UTF-8.
     #[error("an event is not UTF-8")]
-    Text,
+    NotUtf8,
 }
 
 /// Collects bytes until an event is whole.
@@ -64,7 +64,7 @@
     fn extend(&mut self, bytes: &[u8]) -> Result<(), Error> {
         let held = self.data.as_ref().map_or(0, Vec::len);
         if held + self.line.len() + bytes.len() > self.limit {
-            return Err(Error::Long { limit: self.limit });
+            return Err(Error::EventTooLong { limit: self.limit });
         }
         self.line.extend_from_slice(bytes);
         Ok(())
@@ -74,7 +74,7 @@
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line.is_empty() {
             if let Some(data) = self.data.take() {
-                let text = String::from_utf8(data).map_err(|_| Error::Text)?;
+                let text = String::from_utf8(data).map_err(|_| Error::NotUtf8)?;
                 items.push(Item::Data(text));
             }
             return Ok(());
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -33,22 +33,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Bounds a body that is read whole, in bytes.
-    pub body: usize,
+    pub body_limit: usize,
     /// Bounds the time to connect.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Bounds the time from the request to the head of the response.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Bounds the time without a byte in the body of the response.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body: 64 << 20,
-            connect: Duration::from_millis(1_000),
-            head: Duration::from_millis(10_000),
-            idle: Duration::from_millis(5_000),
+            body_limit: 64 << 20,
+            connect_timeout: Duration::from_millis(1_000),
+            head_timeout: Duration::from_millis(10_000),
+            idle_timeout: Duration::from_millis(5_000),
         }
     }
 }
@@ -58,7 +58,7 @@
 pub enum Error {
     /// Reports a body that is too long.
     #[error("upstream {address} sent more than {limit} bytes")]
-    Body {
+    BodyTooLong {
         /// Names the upstream.
         address: SocketAddr,
         /// Gives the bound, in bytes.
@@ -82,7 +82,7 @@
     },
     /// Reports a connection that was cut after the request may have left.
     #[error("upstream {address} cut the connection: {source}")]
-    Cut {
+    Disconnected {
         /// Names the upstream.
         address: SocketAddr,
         /// Gives the cause.
@@ -94,7 +94,7 @@
         /// Names the upstream.
         address: SocketAddr,
         /// Gives the cause.
-        source: Format,
+        source: FormatError,
     },
     /// Reports an upstream that sent nothing for too long.
     #[error("upstream {address} sent nothing for {limit:?}")]
@@ -110,9 +110,9 @@
         /// Names the upstream.
         address: SocketAddr,
         /// Tells what was planned for.
-        expected: Signature,
+        expected: EngineIdentity,
         /// Tells what answered.
-        found: Signature,
+        found: EngineIdentity,
     },
     /// Reports a refusal of the engine, which had no effect.
     #[error("upstream {address} refused: {}", refusal.code)]
@@ -134,7 +134,7 @@
 
 /// Tells what in an answer is not in the contract's format.
 #[derive(Debug, Error)]
-pub enum Format {
+pub enum FormatError {
     /// Reports a stream of events that can't be read.
     #[error(transparent)]
     Events(#[from] sse::Error),
@@ -154,7 +154,7 @@
 
 /// Names the run of an engine and the weights that it serves.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Signature {
+pub struct EngineIdentity {
     /// Names the run.
     pub incarnation: Incarnation,
     /// Names the weights version.
@@ -168,8 +168,8 @@
             Self::Connect { .. } | Self::ConnectTimeout { .. } | Self::Refused { .. } => {
                 NotRun::True
             }
-            Self::Body { .. }
-            | Self::Cut { .. }
+            Self::BodyTooLong { .. }
+            | Self::Disconnected { .. }
             | Self::Format { .. }
             | Self::Idle { .. }
             | Self::Mismatch { .. }
@@ -194,7 +194,7 @@
     ///
     /// Returns an error when no connection is made in time.
     pub async fn open(address: SocketAddr, limits: Limits) -> Result<Self, Error> {
-        let limit = limits.connect;
+        let limit = limits.connect_timeout;
         let stream = match timeout(limit, TcpStream::connect(address)).await {
             Err(_) => return Err(Error::ConnectTimeout { address, limit }),
             Ok(Err(source)) => return Err(Error::Connect { address, source }),
@@ -236,7 +236,7 @@
         &mut self,
         mut request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Error> {
-        let (address, limit) = (self.address, self.limits.head);
+        let (address, limit) = (self.address, self.limits.head_timeout);
         if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
@@ -252,8 +252,8 @@
     /// # Errors
     ///
     /// Returns an error when the connection is cut or nothing arrives in time.
-    pub async fn chunk(&self, body: &mut Incoming) -> Result<Option<Bytes>, Error> {
-        let (address, limit) = (self.address, self.limits.idle);
+    pub async fn next_chunk(&self, body: &mut Incoming) -> Result<Option<Bytes>, Error> {
+        let (address, limit) = (self.address, self.limits.idle_timeout);
         loop {
             let frame = match timeout(limit, body.frame()).await {
                 Err(_) => return Err(Error::Idle { address, limit }),
@@ -272,22 +272,22 @@
     /// # Errors
     ///
     /// Returns an error when the body is cut, too long or not complete in time.
-    pub async fn whole(&self, body: Incoming) -> Result<Bytes, Error> {
-        let (address, limit) = (self.address, self.limits.head);
-        let read = Limited::new(body, self.limits.body).collect();
+    pub async fn read_body(&self, body: Incoming) -> Result<Bytes, Error> {
+        let (address, limit) = (self.address, self.limits.head_timeout);
+        let read = Limited::new(body, self.limits.body_limit).collect();
         match timeout(limit, read).await {
             Err(_) => Err(Error::Idle { address, limit }),
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(source)) if source.is::<http_body_util::LengthLimitError>() => {
-                let limit = self.limits.body;
-                Err(Error::Body { address, limit })
+                let limit = self.limits.body_limit;
+                Err(Error::BodyTooLong { address, limit })
             }
-            Ok(Err(source)) => Err(Error::Cut { address, source }),
+            Ok(Err(source)) => Err(Error::Disconnected { address, source }),
         }
     }
 
     fn cut(&self, source: hyper::Error) -> Error {
-        Error::Cut {
+        Error::Disconnected {
             address: self.address,
             source: source.into(),
         }
--- a/crates/transport/src/stall.rs
+++ b/crates/transport/src/write_timeout.rs
@@ -17,13 +17,13 @@
 
 /// Carries bytes and bounds the time for which a write may make no progress.
 #[derive(Debug)]
-pub struct Stream {
+pub struct WriteTimeoutStream {
     limit: Duration,
     stalled: Option<Pin<Box<Sleep>>>,
     stream: TcpStream,
 }
 
-impl Stream {
+impl WriteTimeoutStream {
     /// Returns `stream` with a bound on stalled writes.
     pub fn new(stream: TcpStream, limit: Duration) -> Self {
         Self {
@@ -51,7 +51,7 @@
     }
 }
 
-impl AsyncRead for Stream {
+impl AsyncRead for WriteTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -61,7 +61,7 @@
     }
 }
 
-impl AsyncWrite for Stream {
+impl AsyncWrite for WriteTimeoutStream {
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
--- a/crates/transport/tests/sse.rs
+++ b/crates/transport/tests/sse.rs
@@ -24,18 +24,24 @@
 
 #[test]
 fn an_endless_line_is_refused() {
-    assert_eq!(read(&[b'x'; 65], 64), Err(Error::Long { limit: 64 }));
+    assert_eq!(
+        read(&[b'x'; 65], 64),
+        Err(Error::EventTooLong { limit: 64 })
+    );
 }
 
 #[test]
 fn an_endless_event_is_refused() {
     let text = "data: 0123456789\n".repeat(8);
-    assert_eq!(read(text.as_bytes(), 64), Err(Error::Long { limit: 64 }));
+    assert_eq!(
+        read(text.as_bytes(), 64),
+        Err(Error::EventTooLong { limit: 64 })
+    );
 }
 
 #[test]
 fn other_bytes_than_text_are_refused() {
-    assert_eq!(read(b"data: \xff\n\n", 64), Err(Error::Text));
+    assert_eq!(read(b"data: \xff\n\n", 64), Err(Error::NotUtf8));
 }
 
 proptest! {
