--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -1,4 +1,5 @@
-//! Takes routed requests from callers: finds route and workspace, and answers what did not run.
+//! Accepts routed requests from callers: finds the route and the workspace of a request, and
+//! refuses what cannot be sent to an upstream.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -16,7 +17,7 @@
 use hyper::header::RETRY_AFTER;
 
 use crate::answer::Failure;
-use crate::caller as answers;
+use crate::caller as responses;
 use crate::context::Context;
 use crate::gateway_retry;
 use crate::request::Request;
@@ -41,57 +42,60 @@
 use transport::event::Event;
 use transport::http::Body;
 
-/// Gives how long a caller should wait when this host has lost the leader or a route has no service
-/// to go to, in milliseconds: time to try another host, and for a newer table to arrive.
-const MISSING_MS: u64 = 500;
-/// Gives how long a caller should wait when this host ends before the answer may, in milliseconds;
-/// time to ask for the addresses of the others.
-const MOVED_MS: u64 = 100;
-/// Counts budget in thousandths of a retry.
-const RETRY: u64 = 1_000;
-/// Gives the share of the fleet's retry budget that hosts use, in percent; the rest covers requests
-/// that callers count later than this host.
-const BUDGET_SHARE: u64 = 80;
+/// `Retry-After` of a request that came after this host lost the leader, or whose route has no
+/// service, in milliseconds: time to try another host, and for a newer table to arrive.
+const NO_ROUTING_RETRY_AFTER_MS: u64 = 500;
+/// `Retry-After` of a stream that could outlast a draining host, in milliseconds: time to ask for
+/// the addresses of the other hosts.
+const DRAINING_RETRY_AFTER_MS: u64 = 100;
+/// Units of the retry budget per retry.
+const BUDGET_UNITS_PER_RETRY: u64 = 1_000;
+/// Share of the fleet's retry budget that the hosts use, in percent. The rest is a reserve for
+/// requests that callers count later than this host.
+const USED_BUDGET_PERCENT: u64 = 80;
 
-/// Holds what routed requests share on this host.
+/// State that all routed requests of this host share.
 pub struct Gateway {
-    /// Chooses upstreams.
+    /// Choice of upstreams, with what this host observed of them.
     pub dispatcher: Mutex<Dispatcher>,
-    /// Holds the connections to upstreams.
+    /// Connections to upstreams.
     pub connection_pool: ConnectionPool,
-    /// Shows what this host knows.
+    /// Access to the latest routing snapshot.
     pub routing: routing_snapshot::Handle,
-    /// Bounds requests that go to a second upstream.
+    /// Budgets that limit attempts after the first one, by service.
     pub retry_budgets: Mutex<RetryBudgets>,
 }
 
 impl Gateway {
-    /// Returns a gateway that has sent nothing.
+    /// Returns a gateway without connections or observations.
     pub fn new(routing: routing_snapshot::Handle) -> Self {
         Self {
             dispatcher: Mutex::new(Dispatcher::new(rand::random())),
             connection_pool: ConnectionPool::default(),
             routing,
-            retry_budgets: Mutex::new(RetryBudgets::new(budget(0, 0, 1), rand::random())),
+            retry_budgets: Mutex::new(RetryBudgets::new(
+                host_retry_policy(0, 0, 1),
+                rand::random(),
+            )),
         }
     }
 
-    /// Returns the chooser of upstreams.
+    /// Locks the dispatcher; ignores that another thread panicked while holding the lock.
     pub fn dispatcher(&self) -> MutexGuard<'_, Dispatcher> {
         self.dispatcher
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the budget of retries.
+    /// Locks the retry budgets; ignores that another thread panicked while holding the lock.
     pub fn retry_budgets(&self) -> MutexGuard<'_, RetryBudgets> {
         self.retry_budgets
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps connections, budgets and what was seen in step with the fleet, until the task is
-    /// dropped.
+    /// Adapts connections, observations and retry budgets to every change of the upstreams and of
+    /// the hosts, until the task is dropped.
     pub async fn follow(self: Arc<Self>, context: Arc<Context>) {
         let mut snapshot = self.routing.subscribe();
         let mut view = context.member.view();
@@ -104,78 +108,79 @@
             self.dispatcher().sync(&fleet);
             let addresses: Vec<_> = fleet.upstreams.iter().map(|u| u.address).collect();
             self.connection_pool.retain(&addresses);
-            let seen = view.borrow_and_update().clone();
-            let hosts = seen.present(Role::Entry).filter(takes_callers);
+            let member_view = view.borrow_and_update().clone();
+            let hosts = member_view.present(Role::Entry).filter(accepts_callers);
             let hosts = hosts.count().max(1) as u64;
             if let Some(settings) = &context.settings.gateway {
-                let policy = budget(settings.retry_percent, settings.retry_slack, hosts);
+                let policy = host_retry_policy(settings.retry_percent, settings.retry_slack, hosts);
                 self.retry_budgets().set_policy(policy);
             }
         }
     }
 }
 
-fn takes_callers(member: &&coordination::view::Member) -> bool {
+/// Returns whether a host accepts routed requests.
+fn accepts_callers(member: &&coordination::view::Member) -> bool {
     member.record.profile.gateway.is_some()
 }
 
-/// Returns this host's part of the budget that all hosts share.
-fn budget(percent: u64, slack: u64, hosts: u64) -> Policy {
+/// Returns the retry policy of one host, so that all hosts together stay within the fleet's budget.
+fn host_retry_policy(percent: u64, slack: u64, hosts: u64) -> Policy {
     Policy {
         attempt_limit: u32::MAX,
         initial_backoff_ms: 0,
         max_backoff_ms: 0,
-        burst: (slack * BUDGET_SHARE / 100 / hosts).max(1),
-        deposit_per_attempt: percent * BUDGET_SHARE * RETRY / 10_000,
+        burst: (slack * USED_BUDGET_PERCENT / 100 / hosts).max(1),
+        deposit_per_attempt: percent * USED_BUDGET_PERCENT * BUDGET_UNITS_PER_RETRY / 10_000,
         refill_per_s: 0,
     }
 }
 
-/// Holds a routed request that may be sent.
+/// A request whose route and workspace are known and whose body is read.
 pub struct RoutedRequest {
-    /// Gives the time of its arrival.
+    /// Time of arrival.
     pub arrived: Instant,
-    /// Holds the body.
+    /// Whole body.
     pub body: Bytes,
-    /// Gives the time after which the caller gets nothing more.
+    /// Time at which the answer is broken off.
     pub deadline: Instant,
-    /// Holds what its headers say.
+    /// Decoded headers.
     pub facts: Facts,
-    /// Holds the headers.
+    /// Headers as the caller sent them.
     pub headers: HeaderMap,
-    /// Holds the method.
+    /// HTTP method.
     pub method: Method,
-    /// Gives the last event that the caller has, where a stream goes on.
+    /// ID of the last event that the caller received, if this resumes a stream.
     pub resume_after: Option<u64>,
-    /// Holds the route.
+    /// Route of the table that matches the request.
     pub route: Route,
-    /// Names the service.
+    /// Service whose upstreams may run the request, one of the route's targets.
     pub service: String,
-    /// Holds the path and the query.
+    /// Path and query.
     pub uri: Uri,
-    /// Holds the workspace, where the table has any and the route needs one.
+    /// Workspace of the caller's key, unless the table has no workspaces or the route is public.
     pub workspace: Option<Workspace>,
 }
 
 impl RoutedRequest {
-    /// Returns the time left, in milliseconds.
+    /// Returns the time until the deadline, in milliseconds.
     pub fn left_ms(&self, now: Instant) -> u64 {
         self.deadline.since(now)
     }
 }
 
-/// Answers a routed request.
+/// Answers a routed request with the response of an upstream, or with a refusal.
 pub fn answer(context: Arc<Context>, request: Request) -> BoxFuture<'static, Response<Body>> {
     async move {
         let Some(gateway) = context.gateway.clone() else {
-            return answers::refuse(&request.id, Reason::UnknownPath);
+            return responses::refuse(&request.id, Reason::UnknownPath);
         };
         let facts = Facts::read(&request.headers);
         let id = facts.id.clone();
         match accept(&context, &gateway, request, facts).await {
-            Err(failure) => refuse(&id, failure),
+            Err(failure) => failure_response(&id, failure),
             Ok(routed) => match gateway_retry::run(&context, &gateway, routed).await {
-                Err(failure) => refuse(&id, failure),
+                Err(failure) => failure_response(&id, failure),
                 Ok(response) => response,
             },
         }
@@ -183,7 +188,7 @@
     .boxed()
 }
 
-/// Finds route and workspace of a request and reads its body.
+/// Finds the route, the workspace and the service of a request, and reads its body.
 async fn accept(
     context: &Context,
     gateway: &Gateway,
@@ -195,37 +200,43 @@
         let age = gateway.routing.age_ms(context);
         let details = slog::o!("request" => facts.id.clone(), "age_ms" => age);
         event::emit(&context.log, Event::OutlookStale, details);
-        // A host that has lost the leader may be cut off alone; one that has never heard of it
-        // started with the others.
+        // A host that lost the leader may be the only one that is partitioned, so another host is
+        // worth a quick try. A host that never reached a leader probably started together with the
+        // others, and its callers back off as in an outage.
         let after = match age {
             None => Outage::new(Instant::default()).retry_after_ms(arrived, rand::random()),
-            Some(_) => MISSING_MS,
+            Some(_) => NO_ROUTING_RETRY_AFTER_MS,
         };
-        later(Reason::QuorumAway, after)
+        retryable_failure(Reason::QuorumAway, after)
     })?;
     let route = snapshot.index.route(&facts.host, request.uri.path());
     let route = route
         .cloned()
         .ok_or(Failure::before_run(Reason::UnknownPath))?;
     let workspace = workspace(&snapshot, &route, &facts)?;
-    let service = drawn(&route.targets, rand::random());
+    let service = pick_service(&route.targets, rand::random());
     let service = service
-        .ok_or(later(Reason::NoUpstream, MISSING_MS))?
+        .ok_or(retryable_failure(
+            Reason::NoUpstream,
+            NO_ROUTING_RETRY_AFTER_MS,
+        ))?
         .to_owned();
-    let patience = facts
+    let time_limit_ms = facts
         .deadline_ms
         .unwrap_or(route.timeout_ms)
         .min(route.timeout_ms);
-    if route.kind == Kind::Stream && !context.takes(patience) {
-        return Err(later(Reason::Draining, MOVED_MS));
+    if route.kind == Kind::Stream && !context.takes(time_limit_ms) {
+        return Err(retryable_failure(Reason::Draining, DRAINING_RETRY_AFTER_MS));
     }
-    let deadline = arrived + patience;
+    let deadline = arrived + time_limit_ms;
     let limit = context
         .settings
         .entry
         .as_ref()
         .map_or(0, |entry| entry.body_limit);
-    let body = request.read(limit, Duration::from_millis(patience)).await;
+    let body = request
+        .read(limit, Duration::from_millis(time_limit_ms))
+        .await;
     Ok(RoutedRequest {
         arrived,
         body: body.map_err(Failure::before_run)?,
@@ -241,6 +252,7 @@
     })
 }
 
+/// Returns the workspace that the caller's key belongs to, or none if the route needs no key.
 fn workspace(
     snapshot: &Snapshot,
     route: &Route,
@@ -257,22 +269,22 @@
     }
 }
 
-/// Returns a service by its weight.
-fn drawn(targets: &[Target], draw: u64) -> Option<&str> {
+/// Picks a service at random, in proportion to the weights.
+fn pick_service(targets: &[Target], random: u64) -> Option<&str> {
     let sum: u64 = targets.iter().map(|target| u64::from(target.weight)).sum();
-    let mut place = draw.checked_rem(sum)?;
+    let mut offset = random.checked_rem(sum)?;
     for target in targets {
         let weight = u64::from(target.weight);
-        if place < weight {
+        if offset < weight {
             return Some(&target.service);
         }
-        place -= weight;
+        offset -= weight;
     }
     None
 }
 
-/// Returns a failure of a request that did not run and may come back.
-pub fn later(reason: Reason, retry_after_ms: u64) -> Failure {
+/// Returns the failure of a request that did not run and may be retried after `retry_after_ms`.
+pub fn retryable_failure(reason: Reason, retry_after_ms: u64) -> Failure {
     Failure {
         not_run: NotRun::True,
         reason,
@@ -280,8 +292,9 @@
     }
 }
 
-fn refuse(id: &str, failure: Failure) -> Response<Body> {
-    let mut response = answers::fail(id, failure);
+/// Returns the response for a failure, with a `Retry-After` header if the failure has a delay.
+fn failure_response(id: &str, failure: Failure) -> Response<Body> {
+    let mut response = responses::fail(id, failure);
     if let Some(after) = failure.retry_after_ms {
         let value = caller::retry_after(after);
         response.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/hibiscushoistd/src/gateway_answer_log.rs
+++ b/crates/hibiscushoistd/src/gateway_answer_log.rs
@@ -1,5 +1,5 @@
-//! Accounts for a routed request that an upstream began to answer: one line when its answer ends,
-//! with what it was chosen by.
+//! Access log of routed requests: one event at the end of each answer that an upstream began, with
+//! the outcome, the times and the grounds for the choice of the upstream.
 
 use std::sync::Arc;
 
@@ -14,21 +14,21 @@
 use transport::event;
 use transport::event::Event;
 
-/// Tells how an answer ended.
+/// How an answer ended.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Outcome {
-    /// Means that the upstream broke it off and no other went on with it.
+    /// The upstream broke it off, and no other upstream resumed it.
     Cut,
-    /// Means that the caller's time passed first.
+    /// The deadline passed before the answer was complete.
     Deadline,
-    /// Means that the caller left first.
+    /// The caller disconnected before the answer was complete.
     Left,
-    /// Means that the caller got all of it.
+    /// The answer was complete.
     Whole,
 }
 
-/// Logs how the answer to a request ended once it is dropped.
+/// Record of one answer, written to the log when it is dropped.
 pub struct AnswerLog {
     age_ms: Option<u64>,
     arrived: Instant,
@@ -47,8 +47,8 @@
 }
 
 impl AnswerLog {
-    /// Opens the account of a request whose answer begins; until it is told otherwise, the caller
-    /// is held to have left.
+    /// Returns the record of an answer whose head has arrived. Until another outcome is set, it is
+    /// [`Outcome::Left`]: if the caller disconnects, the record is dropped without further calls.
     pub fn start(
         context: &Arc<Context>,
         gateway: &Gateway,
@@ -66,7 +66,7 @@
             edition: snapshot.fleet.edition.number,
             head_ms: context.clock.now().since(routed.arrived),
             outcome: Outcome::Left,
-            placed_ms: answered.sent.since(routed.arrived),
+            placed_ms: answered.sent_at.since(routed.arrived),
             request: routed.facts.id.clone(),
             service: routed.service.clone(),
             status: answered.status().as_u16(),
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Notes that another upstream goes on with the answer.
+    /// Records that another upstream resumed the answer.
     pub fn record_resumption(&mut self, answered: &UpstreamAnswer) {
         self.attempts += 1;
         self.choice.clone_from(&answered.choice);
     }
 
-    /// Notes how the answer ended.
+    /// Records how the answer ended.
     pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
--- a/crates/hibiscushoistd/src/gateway_attempt.rs
+++ b/crates/hibiscushoistd/src/gateway_attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a routed request to one upstream and judges the head of its answer.
+//! One attempt at a routed request: sends it to an upstream and classifies the head of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::RoutedRequest;
 use crate::gateway_retry::Progress;
-use crate::gateway_retry::may_move;
+use crate::gateway_retry::can_move;
 use coordination::choice::Choice;
 use coordination::demand::Demand;
 use coordination::dispatch::InFlight;
@@ -28,26 +28,26 @@
 use transport::connection_pool;
 use transport::connection_pool::PooledConnection;
 
-/// Bounds the time to connect to an upstream; a connection within a region takes a few
-/// milliseconds.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Bounds the idle time of a connection that carries an order, which cannot be sent again when the
-/// upstream closes the connection at that moment.
-const IDLE_ORDER: Duration = Duration::from_millis(1_500);
-/// Bounds the idle time of a connection that carries other requests.
-const IDLE: Duration = Duration::from_millis(4_000);
-/// Gives the time between two looks at whether the upstream has fallen silent.
-const LOOK: Duration = Duration::from_millis(100);
+/// Timeout of a connection attempt to an upstream; within a region it takes a few milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest idle time of a connection that may carry a non-idempotent request. Such a request cannot
+/// be sent again if the upstream closes the idle connection at the moment of sending, so this limit
+/// is lower than [`IDLE_LIMIT`].
+const NON_IDEMPOTENT_IDLE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Longest idle time of a connection that carries idempotent requests.
+const IDLE_LIMIT: Duration = Duration::from_millis(4_000);
+/// Time between two checks whether the upstream has become unresponsive.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Keeps a request noted as under way until it is dropped.
+/// Counts a request as in flight at its upstream until the guard is dropped.
 pub struct InFlightGuard {
     gateway: Arc<Gateway>,
-    /// Names the request to the dispatch.
-    pub run: InFlight,
+    /// Handle with which the dispatcher records the events of the request.
+    pub handle: InFlight,
 }
 
 impl InFlightGuard {
-    /// Returns what has seen the request.
+    /// Returns the gateway whose dispatcher counts the request.
     pub fn gateway(&self) -> &Arc<Gateway> {
         &self.gateway
     }
@@ -55,78 +55,79 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.gateway.dispatcher().record_end(&self.run);
+        self.gateway.dispatcher().record_end(&self.handle);
     }
 }
 
-/// Tells how an attempt went.
+/// Result of an attempt.
 pub enum Attempt {
-    /// Means that the upstream answered for the request.
+    /// The upstream sent the head of a valid answer.
     Answered(Box<UpstreamAnswer>),
-    /// Means that no answer came that counts.
+    /// No valid answer arrived.
     Failed {
-        /// Tells whether the request may have run.
+        /// Whether the upstream may have run the request.
         may_have_run: bool,
-        /// Tells why.
+        /// Cause of the failure.
         reason: retry::Reason,
     },
-    /// Means that the upstream did not run the request.
+    /// The upstream refused the request without running it.
     Rejected,
 }
 
-/// Holds the answer of an upstream whose body is still to come.
+/// The answer of an upstream whose head has arrived and whose body is still to be read.
 pub struct UpstreamAnswer {
-    /// Tells where the request went and what that was chosen by.
+    /// Upstream of the request, and the grounds for choosing it.
     pub choice: Choice,
     facts: Facts,
     connection: PooledConnection,
     response: Response<Incoming>,
-    /// Gives when the request was sent.
-    pub sent: Instant,
-    /// Keeps the request noted as under way.
+    /// Time at which the attempt began.
+    pub sent_at: Instant,
+    /// Counts the request as in flight at the upstream.
     pub in_flight: InFlightGuard,
 }
 
 impl UpstreamAnswer {
-    /// Returns the head of the answer as the caller gets it.
-    pub fn returned_head(&self) -> http::response::Parts {
+    /// Returns the head of the response to the caller.
+    pub fn response_head(&self) -> http::response::Parts {
         let mut response = Response::new(());
         *response.status_mut() = self.response.status();
         *response.headers_mut() = caller::returned(self.response.headers());
         response.into_parts().0
     }
 
-    /// Returns the body with its connection, how long that may be kept, and the request under way.
+    /// Returns the body, its connection, how long the connection may stay open idle afterwards (if
+    /// at all), and the guard of the request in flight.
     pub fn into_stream(self) -> (Incoming, PooledConnection, Option<Duration>, InFlightGuard) {
-        let keep = keep(&self.facts);
+        let idle_limit = idle_limit(&self.facts);
         (
             self.response.into_body(),
             self.connection,
-            keep,
+            idle_limit,
             self.in_flight,
         )
     }
 
-    /// Returns the status of the answer.
+    /// Returns the HTTP status of the answer.
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the answer is a successful stream of events.
     pub fn is_stream(&self, routed: &RoutedRequest) -> bool {
         routed.route.kind == Kind::Stream && self.response.status().is_success()
     }
 
-    /// Returns whether the stream may go on at another upstream; one of a stated length may not,
-    /// since its bytes are counted.
+    /// Returns whether another upstream may resume the stream. A stream with a `Content-Length`
+    /// cannot be resumed, since the resumed part might not have the promised length.
     pub fn is_resumable(&self, routed: &RoutedRequest) -> bool {
         let counted = self.response.headers().contains_key(CONTENT_LENGTH);
         routed.route.resumable && !counted
     }
 }
 
-/// Sends a request to the upstream that was chosen, and returns how that went once the head of an
-/// answer is there.
+/// Sends a request to the chosen upstream, and returns the result once the head of the answer has
+/// arrived or the attempt has failed.
 pub async fn attempt(
     context: &Context,
     gateway: &Arc<Gateway>,
@@ -135,25 +136,28 @@
     demand: &Demand,
     choice: &Choice,
 ) -> Attempt {
-    let begun = context.clock.now();
-    let headers = caller::forwarded(&routed.headers, &forward(routed, choice, demand.left_ms));
-    let Some(request) = request(routed, headers) else {
+    let started_at = context.clock.now();
+    let headers = caller::forwarded(
+        &routed.headers,
+        &upstream_headers(routed, choice, demand.left_ms),
+    );
+    let Some(request) = upstream_request(routed, headers) else {
         return Attempt::Rejected;
     };
-    let run = gateway.dispatcher().record_sent(begun, choice, demand);
+    let handle = gateway.dispatcher().record_sent(started_at, choice, demand);
     let mut in_flight = InFlightGuard {
         gateway: gateway.clone(),
-        run,
+        handle,
     };
     let address = choice.upstream.address;
     let sending = gateway
         .connection_pool
-        .send(address, request, limits(routed));
+        .send(address, request, connection_limits(routed));
     let sent = tokio::select! {
         sent = sending => sent,
-        reason = given_up(context, routed, progress, choice, &in_flight) => {
+        reason = wait_for_abandonment(context, routed, progress, choice, &in_flight) => {
             if reason == retry::Reason::Idle {
-                gateway.dispatcher().record_failure(context.clock.now(), &in_flight.run);
+                gateway.dispatcher().record_failure(context.clock.now(), &in_flight.handle);
             }
             return Attempt::Failed { may_have_run: true, reason };
         }
@@ -161,7 +165,7 @@
     let now = context.clock.now();
     let (response, connection) = match sent {
         Err(error) => {
-            gateway.dispatcher().record_failure(now, &in_flight.run);
+            gateway.dispatcher().record_failure(now, &in_flight.handle);
             let reason = match error.not_sent() {
                 false => retry::Reason::Cut,
                 true => retry::Reason::Connect,
@@ -182,23 +186,23 @@
         };
     }
     let mut dispatcher = gateway.dispatcher();
-    dispatcher.record_answer_head(now, &mut in_flight.run);
+    dispatcher.record_answer_head(now, &mut in_flight.handle);
     if let Some((model, version)) = demand.model.as_ref().zip(facts.weights) {
-        dispatcher.record_weights(&in_flight.run, model.clone(), version);
+        dispatcher.record_weights(&in_flight.handle, model.clone(), version);
     }
     if facts.not_run {
-        dispatcher.record_refusal(now, &in_flight.run);
+        dispatcher.record_refusal(now, &in_flight.handle);
         return Attempt::Rejected;
     }
     if !facts.stamped {
-        dispatcher.record_failure(now, &in_flight.run);
+        dispatcher.record_failure(now, &in_flight.handle);
         return Attempt::Failed {
             may_have_run: true,
             reason: retry::Reason::Format,
         };
     }
     if response.status().is_success() {
-        dispatcher.record_prefill(now, &mut in_flight.run);
+        dispatcher.record_prefill(now, &mut in_flight.handle);
     }
     drop(dispatcher);
     Attempt::Answered(Box::new(UpstreamAnswer {
@@ -206,25 +210,25 @@
         facts,
         connection,
         response,
-        sent: begun,
+        sent_at: started_at,
         in_flight,
     }))
 }
 
-/// Returns the bounds of a request's connection.
-pub fn limits(routed: &RoutedRequest) -> connection_pool::Limits {
+/// Returns the time limits of the connection that a request uses.
+pub fn connection_limits(routed: &RoutedRequest) -> connection_pool::Limits {
     connection_pool::Limits {
-        connect_timeout: CONNECT,
+        connect_timeout: CONNECT_TIMEOUT,
         max_idle: match routed.route.is_repeatable() {
-            false => IDLE_ORDER,
-            true => IDLE,
+            false => NON_IDEMPOTENT_IDLE_LIMIT,
+            true => IDLE_LIMIT,
         },
     }
 }
 
-/// Returns once the caller's time has passed or, for a request that may run again, the upstream
-/// has fallen silent and another takes it.
-async fn given_up(
+/// Waits until the attempt should be abandoned: the deadline has passed or, for an idempotent
+/// request, the upstream is unresponsive and another one can take the request.
+async fn wait_for_abandonment(
     context: &Context,
     routed: &RoutedRequest,
     progress: &Progress,
@@ -236,23 +240,24 @@
         if left == 0 {
             return retry::Reason::Idle;
         }
-        tokio::time::sleep(LOOK.min(Duration::from_millis(left))).await;
+        tokio::time::sleep(STALL_CHECK_INTERVAL.min(Duration::from_millis(left))).await;
         let now = context.clock.now();
-        let silent = in_flight
+        let is_unresponsive = in_flight
             .gateway
             .dispatcher()
-            .is_unresponsive(now, &in_flight.run);
+            .is_unresponsive(now, &in_flight.handle);
         let (gateway, upstream) = (in_flight.gateway(), &choice.upstream.id);
-        if silent
+        if is_unresponsive
             && routed.route.is_repeatable()
-            && may_move(context, gateway, routed, progress, upstream)
+            && can_move(context, gateway, routed, progress, upstream)
         {
             return retry::Reason::Idle;
         }
     }
 }
 
-fn request(
+/// Returns the request to the upstream, or none if its URI cannot be parsed.
+fn upstream_request(
     routed: &RoutedRequest,
     headers: HeaderMap,
 ) -> Option<hyper::Request<connection_pool::Body>> {
@@ -264,7 +269,8 @@
     Some(request)
 }
 
-fn forward(routed: &RoutedRequest, choice: &Choice, left_ms: u64) -> Forward {
+/// Returns the values of the headers that this host sets on the request to the upstream.
+fn upstream_headers(routed: &RoutedRequest, choice: &Choice, left_ms: u64) -> Forward {
     let workspace = routed.workspace.as_ref();
     let salt = choice.weights.map(|version| {
         let isolated = workspace.filter(|workspace| workspace.isolated);
@@ -286,9 +292,9 @@
     }
 }
 
-/// Returns how long the connection may be kept after the answer, if at all.
-fn keep(facts: &Facts) -> Option<Duration> {
+/// Returns how long the connection may stay open idle after the answer, if at all.
+fn idle_limit(facts: &Facts) -> Option<Duration> {
     let stated = facts.keep_alive_s.map(Duration::from_secs);
-    let idle = stated.map_or(IDLE, |stated| (stated * 4 / 5).min(IDLE));
+    let idle = stated.map_or(IDLE_LIMIT, |stated| (stated * 4 / 5).min(IDLE_LIMIT));
     (!facts.last).then_some(idle)
 }
--- a/crates/hibiscushoistd/src/gateway_body.rs
+++ b/crates/hibiscushoistd/src/gateway_body.rs
@@ -1,4 +1,5 @@
-//! Passes a stream of events from an upstream to a caller as it arrives.
+//! Response body that forwards a stream from an upstream to a caller frame by frame, without
+//! resumption.
 
 use std::io;
 use std::pin::Pin;
@@ -23,18 +24,18 @@
 use state::time::Instant;
 use transport::connection_pool::PooledConnection;
 
-/// Passes the body of an answer on.
+/// The body of an upstream's answer, as it is forwarded to the caller.
 pub struct ForwardedBody {
     answer_log: AnswerLog,
     context: Arc<Context>,
     body: Incoming,
-    end: Option<(PooledConnection, Option<Duration>)>,
-    late: Pin<Box<Sleep>>,
+    connection: Option<(PooledConnection, Option<Duration>)>,
+    deadline_timer: Pin<Box<Sleep>>,
     in_flight: InFlightGuard,
 }
 
 impl ForwardedBody {
-    /// Returns the body of an answer, which ends with an error at `deadline`.
+    /// Returns the body of `answered`; reading it fails with a timeout after `deadline`.
     pub fn new(
         context: &Arc<Context>,
         answered: UpstreamAnswer,
@@ -42,20 +43,21 @@
         answer_log: AnswerLog,
     ) -> Self {
         let left = deadline.since(context.clock.now());
-        let (body, connection, keep, in_flight) = answered.into_stream();
+        let (body, connection, idle_limit, in_flight) = answered.into_stream();
         Self {
             answer_log,
             context: context.clone(),
             body,
-            end: Some((connection, keep)),
-            late: Box::pin(tokio::time::sleep(Duration::from_millis(left))),
+            connection: Some((connection, idle_limit)),
+            deadline_timer: Box::pin(tokio::time::sleep(Duration::from_millis(left))),
             in_flight,
         }
     }
 
+    /// Records that the body is complete, and keeps the connection for later requests.
     fn complete(&mut self) {
         self.answer_log.set_outcome(Outcome::Whole);
-        if let Some((connection, Some(idle))) = self.end.take() {
+        if let Some((connection, Some(idle))) = self.connection.take() {
             tokio::spawn(connection.release(idle));
         }
     }
@@ -69,7 +71,7 @@
         mut self: Pin<&mut Self>,
         task: &mut Task<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.late.poll_unpin(task).is_ready() {
+        if self.deadline_timer.poll_unpin(task).is_ready() {
             self.answer_log.set_outcome(Outcome::Deadline);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
@@ -84,14 +86,16 @@
                 let gateway = self.in_flight.gateway().clone();
                 gateway
                     .dispatcher()
-                    .record_failure(now, &self.in_flight.run);
+                    .record_failure(now, &self.in_flight.handle);
                 self.answer_log.set_outcome(Outcome::Cut);
                 Poll::Ready(Some(Err(io::Error::other(error))))
             }
             Poll::Ready(Some(Ok(frame))) => {
                 let now = self.context.clock.now();
                 let gateway = self.in_flight.gateway().clone();
-                gateway.dispatcher().record_byte(now, &self.in_flight.run);
+                gateway
+                    .dispatcher()
+                    .record_byte(now, &self.in_flight.handle);
                 if self.body.is_end_stream() {
                     self.complete();
                 }
--- a/crates/hibiscushoistd/src/gateway_placement.rs
+++ b/crates/hibiscushoistd/src/gateway_placement.rs
@@ -1,4 +1,4 @@
-//! Finds the upstream of a routed request, and waits until one has room for a long prompt.
+//! Placement of a routed request: chooses its upstream, and waits while all engines are busy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,21 +17,25 @@
 use transport::event::Event;
 use transport::metric;
 
-/// Bounds the time for which the leading host is asked for an engine; it answers within a round
-/// trip and a turn of its thread, and choosing without it costs less than waiting longer.
-const ASSIGN_LIMIT: Duration = Duration::from_millis(100);
-/// Gives the time between two looks at whether an engine has room: an engine reads a piece of a
-/// prompt in about twice that.
-const ROOM_LOOK: Duration = Duration::from_millis(40);
-/// Gives how long a request waits for room, as a multiple of the time in which its answer should
-/// begin; callers leave at four times that, and reading takes about one.
-const WAIT_GOALS: u64 = 1;
-/// Gives the length from which a shared prompt is worth sending to the engine that has read it, in
-/// tokens; shorter ones are read within a step of a batch.
-const SHARED_TOKENS: u64 = 1_024;
+/// Timeout of a call that asks the leader for an engine. The leader answers within a round trip and
+/// one turn of its thread; choosing without it costs less than a longer wait.
+const ASSIGN_TIMEOUT: Duration = Duration::from_millis(100);
+/// Pause between two placement attempts while all engines are busy; the prefill of one chunk takes
+/// about twice as long.
+const BUSY_PAUSE: Duration = Duration::from_millis(40);
+/// Longest wait for a free engine, as a multiple of the route's time-to-first-byte goal. Callers
+/// disconnect at four times the goal, and prefill takes about one.
+const MAX_WAIT_GOALS: u64 = 1;
+/// Least length of a shared prefix for which a request is routed to the engine that caches it, in
+/// tokens; the prefill of a shorter prefix fits in one step of a batch.
+const MIN_SHARED_PREFIX_TOKENS: u64 = 1_024;
 
-/// Waits until an engine has room for a request, but only for as long as an answer is still worth
-/// having, and returns where it goes.
+/// Chooses the upstream of a request. While all engines are busy, waits as long as the answer can
+/// still be useful to the caller.
+///
+/// # Errors
+///
+/// Returns why no upstream can take the request.
 pub async fn place(
     context: &Context,
     gateway: &Gateway,
@@ -40,22 +44,22 @@
 ) -> Result<(Demand, Choice), Refusal> {
     loop {
         let demand = demand(context, gateway, routed, progress);
-        let chosen = match assigned(context, gateway, &demand).await {
+        let chosen = match ask_leader(context, gateway, &demand).await {
             Some(Ok(choice)) => Ok(choice),
             Some(Err(refusal @ (Refusal::Busy | Refusal::TooLate))) => Err(refusal),
-            Some(Err(Refusal::NoUpstream)) | None => choose(context, gateway, &demand),
+            Some(Err(Refusal::NoUpstream)) | None => choose_locally(context, gateway, &demand),
         };
         match chosen {
-            Err(Refusal::Busy) if waits(context, routed) => tokio::time::sleep(ROOM_LOOK).await,
+            Err(Refusal::Busy) if may_wait(context, routed) => tokio::time::sleep(BUSY_PAUSE).await,
             Err(refusal) => return Err(refusal),
             Ok(choice) => return Ok((demand, choice)),
         }
     }
 }
 
-/// Returns what the leading host chooses for a long prompt, or nothing where it was not asked or
-/// did not answer.
-async fn assigned(
+/// Asks the leader for the engine of a request with a long shared prefix. Returns `None` if the
+/// request has no such prefix, no leader is known, or the leader does not answer.
+async fn ask_leader(
     context: &Context,
     gateway: &Gateway,
     demand: &Demand,
@@ -65,15 +69,15 @@
     let pool = context.pool.as_ref()?;
     let snapshot = gateway.routing.latest();
     let now = context.clock.now();
-    let ask = Request {
+    let request = Request {
         unusable: gateway
             .dispatcher()
             .unusable(now, &snapshot.fleet, &demand.service),
         demand: demand.clone(),
     };
     let client = pool.client(leader, None);
-    let call = client.call(ASSIGN_LIMIT, |peer, call| async move {
-        peer.assign(call, ask).await
+    let call = client.call(ASSIGN_TIMEOUT, |peer, call| async move {
+        peer.assign(call, request).await
     });
     let error = match call.await {
         Ok(Ok(assigned)) => {
@@ -93,8 +97,8 @@
     None
 }
 
-/// Returns whether some other upstream would take a request now.
-pub fn is_offered(
+/// Returns whether an upstream that has not been tried can take a request now.
+pub fn has_alternative(
     context: &Context,
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -108,12 +112,13 @@
         .can_place(now, &snapshot.fleet, &demand)
 }
 
-/// Returns whether a request may wait for room any longer.
-fn waits(context: &Context, routed: &RoutedRequest) -> bool {
+/// Returns whether a request may wait longer for a free engine.
+fn may_wait(context: &Context, routed: &RoutedRequest) -> bool {
     let waited = context.clock.now().since(routed.arrived);
-    waited < routed.route.first_byte_goal_ms * WAIT_GOALS
+    waited < routed.route.first_byte_goal_ms * MAX_WAIT_GOALS
 }
 
+/// Returns what the dispatcher and the leader need to know of a request to choose its upstream.
 fn demand(
     context: &Context,
     gateway: &Gateway,
@@ -127,11 +132,11 @@
     let newest = model.as_ref().and_then(|model| snapshot.weights.get(model));
     let now = context.clock.now();
     let waited = now.since(routed.arrived);
-    let shared_prefix = shared(routed).filter(|_| progress.exact_weights.is_none());
+    let shared_prefix = shared_prefix(routed).filter(|_| progress.exact_weights.is_none());
     let connected = match shared_prefix {
         None => gateway
             .connection_pool
-            .idle_addresses(gateway_attempt::limits(routed)),
+            .idle_addresses(gateway_attempt::connection_limits(routed)),
         Some(_) => Vec::new(),
     };
     Demand {
@@ -157,24 +162,29 @@
     }
 }
 
-/// Returns the stores of cached prompts.
+/// Returns the addresses of the stores of cached prefixes.
 fn stores(snapshot: &Snapshot) -> Vec<SocketAddr> {
     let services = snapshot.index.table().services.iter();
     let stores = services.filter_map(|service| service.store.as_ref());
     stores.map(|store| store.address).collect()
 }
 
-/// Returns the last part of the prompt that other requests share and the tokens up to its end; the
-/// very last part belongs to the request itself.
-fn shared(routed: &RoutedRequest) -> Option<(String, u64)> {
+/// Returns the ID and the length in tokens of the prefix that the request shares with others: all
+/// parts of the prompt but the last, which belongs to this request alone.
+fn shared_prefix(routed: &RoutedRequest) -> Option<(String, u64)> {
     let parts = &routed.facts.parts;
     let (_, shared) = parts.split_last()?;
     let last = shared.last()?;
     let tokens = shared.iter().map(|part| part.tokens).sum();
-    (tokens >= SHARED_TOKENS).then(|| (last.id.clone(), tokens))
+    (tokens >= MIN_SHARED_PREFIX_TOKENS).then(|| (last.id.clone(), tokens))
 }
 
-fn choose(context: &Context, gateway: &Gateway, demand: &Demand) -> Result<Choice, Refusal> {
+/// Chooses an upstream with the observations of this host alone.
+fn choose_locally(
+    context: &Context,
+    gateway: &Gateway,
+    demand: &Demand,
+) -> Result<Choice, Refusal> {
     let snapshot = gateway.routing.latest();
     let now = context.clock.now();
     gateway.dispatcher().choose(now, &snapshot.fleet, demand)
--- a/crates/hibiscushoistd/src/gateway_retry.rs
+++ b/crates/hibiscushoistd/src/gateway_retry.rs
@@ -1,4 +1,5 @@
-//! Sends a routed request to one upstream after another until one answers or none may be tried.
+//! Retries of a routed request: sends it to one upstream after another until one answers or the
+//! retry policy forbids another attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use crate::context::Context;
 use crate::gateway::Gateway;
 use crate::gateway::RoutedRequest;
-use crate::gateway::later;
+use crate::gateway::retryable_failure;
 use crate::gateway_answer_log::AnswerLog;
 use crate::gateway_answer_log::Outcome;
 use crate::gateway_attempt::Attempt;
@@ -34,31 +35,34 @@
 use transport::http::Body;
 use transport::metric;
 
-/// Gives when a caller should return at the earliest after no engine had room, in milliseconds; a
-/// burst is over or read within seconds.
-const BUSY_MS: u64 = 1_000;
-/// Gives the time over which callers return after no engine had room, in milliseconds.
-const BUSY_SPREAD_MS: u64 = 1_500;
-/// Bounds the upstreams that may reject a request without running it.
-const REJECTIONS: u32 = 3;
-/// Gives when a caller should return after every upstream rejected its request, in milliseconds.
-const REJECTED_MS: u64 = 400;
-/// Bounds an answer that is read whole before it is passed on, in bytes.
-const WHOLE_BYTES: usize = 1 << 20;
+/// Least `Retry-After` while all engines are busy, in milliseconds; a burst ends or is prefilled
+/// within seconds.
+const BUSY_RETRY_AFTER_MS: u64 = 1_000;
+/// Random addition to [`BUSY_RETRY_AFTER_MS`] that spreads the retries of callers, at most, in
+/// milliseconds.
+const BUSY_RETRY_JITTER_MS: u64 = 1_500;
+/// Number of upstreams that may reject a request without running it before it is refused.
+const MAX_REJECTIONS: u32 = 3;
+/// `Retry-After` of a request that every tried upstream rejected, in milliseconds.
+const REJECTED_RETRY_AFTER_MS: u64 = 400;
+/// Size limit of an answer that is buffered before it is forwarded, in bytes.
+const BUFFERED_ANSWER_LIMIT_BYTES: usize = 1 << 20;
 
-/// Holds what the attempts at one request have come to.
+/// Results of the attempts at one request so far.
 #[derive(Clone, Default)]
 pub struct Progress {
     attempts: u32,
-    /// Gives the weights version that must make the rest of an answer.
+    /// Weights version that must generate the rest of a resumed answer.
     pub exact_weights: Option<u64>,
     may_have_run: bool,
     rejections: u32,
-    /// Lists the upstreams that have failed the request.
+    /// IDs of the upstreams whose attempts have failed.
     pub tried: Vec<String>,
 }
 
-/// Sends a request until an upstream answers.
+/// Sends a request to one upstream after another, and returns the response to the caller. Streams
+/// are forwarded as they arrive; other answers are buffered, so that one that breaks off can still
+/// be retried.
 ///
 /// # Errors
 ///
@@ -76,19 +80,19 @@
         routed.service.clone(),
     );
     loop {
-        let answered = answered(context, gateway, &routed, &mut progress).await?;
+        let answered = send_until_answered(context, gateway, &routed, &mut progress).await?;
         let attempts = progress.attempts + 1;
         let mut answer_log = AnswerLog::start(context, gateway, &routed, &answered, attempts);
         if answered.is_stream(&routed) {
             return Ok(match answered.is_resumable(&routed) {
-                false => passed(context, &routed, answered, answer_log),
+                false => forward_stream(context, &routed, answered, answer_log),
                 true => {
                     gateway_stream::start(context, gateway, routed, progress, answered, answer_log)
                 }
             });
         }
         let upstream = answered.choice.upstream.id.clone();
-        match whole(context, &routed, answered).await {
+        match buffer_answer(context, &routed, answered).await {
             Ok(response) => {
                 answer_log.set_outcome(Outcome::Whole);
                 return Ok(response);
@@ -100,14 +104,14 @@
                     reason,
                     upstream,
                 };
-                failed(context, gateway, &routed, &mut progress, failed_attempt)?;
+                record_failed_attempt(context, gateway, &routed, &mut progress, failed_attempt)?;
             }
         }
     }
 }
 
-/// Has a stream go on at another upstream, after the events that were passed on, where the route
-/// and the budget allow it.
+/// Resumes a stream at another upstream after the events that were already forwarded, if the route
+/// and the retry budget allow it.
 pub async fn resume(
     context: &Arc<Context>,
     gateway: &Arc<Gateway>,
@@ -115,14 +119,16 @@
     progress: &mut Progress,
     failed_attempt: FailedAttempt,
 ) -> Option<UpstreamAnswer> {
-    failed(context, gateway, routed, progress, failed_attempt).ok()?;
-    let next = answered(context, gateway, routed, progress).await.ok()?;
+    record_failed_attempt(context, gateway, routed, progress, failed_attempt).ok()?;
+    let next = send_until_answered(context, gateway, routed, progress)
+        .await
+        .ok()?;
     next.is_stream(routed).then_some(next)
 }
 
-/// Returns whether a request that waits for `upstream` could be sent to another instead; an answer
-/// that may yet come is not ended for nothing.
-pub fn may_move(
+/// Returns whether a request that waits for `upstream` could be sent to another one instead. An
+/// attempt whose answer may still arrive is abandoned only if so.
+pub fn can_move(
     context: &Context,
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -130,28 +136,28 @@
     upstream: &str,
 ) -> bool {
     let now = context.clock.now();
-    let mut moved = progress.clone();
-    moved.tried.push(upstream.to_owned());
+    let mut progress_after_move = progress.clone();
+    progress_after_move.tried.push(upstream.to_owned());
     progress.attempts + 1 < routed.route.attempt_limit
         && gateway
             .retry_budgets()
             .can_retry(now, &routed.service, &routed.service)
-        && gateway_placement::is_offered(context, gateway, routed, &moved)
+        && gateway_placement::has_alternative(context, gateway, routed, &progress_after_move)
 }
 
-/// Describes an attempt that came to nothing.
+/// An attempt that brought no complete answer.
 #[derive(Clone, Debug)]
 pub struct FailedAttempt {
-    /// Tells whether the request may have run.
+    /// Whether the upstream may have run the request.
     pub may_have_run: bool,
-    /// Tells why.
+    /// Cause of the failure.
     pub reason: retry::Reason,
-    /// Names the upstream.
+    /// ID of the upstream.
     pub upstream: String,
 }
 
-/// Sends a request to one upstream after another until one answers for it.
-async fn answered(
+/// Sends a request to one upstream after another until the head of an answer arrives.
+async fn send_until_answered(
     context: &Arc<Context>,
     gateway: &Arc<Gateway>,
     routed: &RoutedRequest,
@@ -159,18 +165,18 @@
 ) -> Result<UpstreamAnswer, Failure> {
     loop {
         let (demand, choice) = match place(context, gateway, routed, progress).await {
-            Err(refusal) => return Err(refused(&context.log, routed, progress, refusal)),
+            Err(refusal) => return Err(placement_failure(&context.log, routed, progress, refusal)),
             Ok(placed) => placed,
         };
         let (may_have_run, reason) =
             match attempt(context, gateway, routed, progress, &demand, &choice).await {
                 Attempt::Answered(answered) => {
                     if answered.status().is_server_error() {
-                        let run = &answered.in_flight.run;
+                        let handle = &answered.in_flight.handle;
                         gateway
                             .dispatcher()
-                            .record_failure(context.clock.now(), run);
-                        if repeats(context, gateway, routed, progress, &choice) {
+                            .record_failure(context.clock.now(), handle);
+                        if retries_server_error(context, gateway, routed, progress, &choice) {
                             continue;
                         }
                     }
@@ -190,12 +196,13 @@
             reason,
             upstream: choice.upstream.id,
         };
-        failed(context, gateway, routed, progress, failed_attempt)?;
+        record_failed_attempt(context, gateway, routed, progress, failed_attempt)?;
     }
 }
 
-/// Notes an attempt that came to nothing, and returns nothing where there may be another.
-fn failed(
+/// Records and logs a failed attempt. Returns the failure for the caller if no other attempt is
+/// allowed.
+fn record_failed_attempt(
     context: &Context,
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -205,13 +212,13 @@
     progress.may_have_run |= failed_attempt.may_have_run;
     progress.attempts += u32::from(failed_attempt.may_have_run);
     progress.tried.push(failed_attempt.upstream.clone());
-    note(context, routed, &failed_attempt);
-    again(context, gateway, routed, progress, failed_attempt.reason)
+    log_failed_attempt(context, routed, &failed_attempt);
+    allow_retry(context, gateway, routed, progress, failed_attempt.reason)
 }
 
-/// Returns whether a request that an upstream ran and failed is tried at another; where it is not,
-/// the caller gets the upstream's own answer.
-fn repeats(
+/// Records a server error of an upstream, and returns whether the request is retried; if not, the
+/// caller gets the upstream's own answer.
+fn retries_server_error(
     context: &Context,
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -223,24 +230,25 @@
         reason: retry::Reason::Status,
         upstream: choice.upstream.id.clone(),
     };
-    let again = failed(context, gateway, routed, progress, failed_attempt);
-    routed.route.is_repeatable() && again.is_ok()
+    let retry_allowed = record_failed_attempt(context, gateway, routed, progress, failed_attempt);
+    routed.route.is_repeatable() && retry_allowed.is_ok()
 }
 
-/// Returns nothing where the request may be tried again.
-fn again(
+/// Checks whether another attempt is allowed, and takes it from the retry budget. Returns the
+/// failure for the caller if it is not. A request that was never sent needs no budget.
+fn allow_retry(
     context: &Context,
     gateway: &Gateway,
     routed: &RoutedRequest,
     progress: &Progress,
     reason: retry::Reason,
 ) -> Result<(), Failure> {
-    let ended = failure(routed, context, progress);
-    if progress.attempts >= routed.route.attempt_limit || progress.rejections >= REJECTIONS {
-        return Err(ended);
+    let final_failure = final_failure(routed, context, progress);
+    if progress.attempts >= routed.route.attempt_limit || progress.rejections >= MAX_REJECTIONS {
+        return Err(final_failure);
     }
-    let unsent = reason == retry::Reason::Connect;
-    let ask = retry::Failure {
+    let not_sent = reason == retry::Reason::Connect;
+    let retry_request = retry::Failure {
         attempt: progress.attempts + 1,
         deadline: routed.deadline,
         idempotent: routed.route.is_repeatable(),
@@ -248,15 +256,17 @@
         upstream: routed.service.clone(),
         workspace: routed.service.clone(),
     };
-    if unsent && !progress.may_have_run && context.clock.now() < routed.deadline {
+    if not_sent && !progress.may_have_run && context.clock.now() < routed.deadline {
         return Ok(());
     }
-    let asked = gateway.retry_budgets().try_retry(context.clock.now(), &ask);
-    match asked {
+    let allowed = gateway
+        .retry_budgets()
+        .try_retry(context.clock.now(), &retry_request);
+    match allowed {
         Err(denial) => {
             let denial: &'static str = denial.into();
             metrics::counter!(metric::RETRY_DENIALS, "reason" => denial).increment(1);
-            Err(ended)
+            Err(final_failure)
         }
         Ok(_) => {
             let reason: &'static str = reason.into();
@@ -266,14 +276,15 @@
     }
 }
 
-fn failure(routed: &RoutedRequest, context: &Context, progress: &Progress) -> Failure {
+/// Returns the failure that the caller gets if no further attempt is made.
+fn final_failure(routed: &RoutedRequest, context: &Context, progress: &Progress) -> Failure {
     if !progress.may_have_run {
-        return later(Reason::Overloaded, REJECTED_MS);
+        return retryable_failure(Reason::Overloaded, REJECTED_RETRY_AFTER_MS);
     }
-    let late = context.clock.now() >= routed.deadline;
+    let deadline_passed = context.clock.now() >= routed.deadline;
     Failure {
         not_run: NotRun::Unknown,
-        reason: match late {
+        reason: match deadline_passed {
             false => Reason::OutcomeUnknown,
             true => Reason::Deadline,
         },
@@ -281,7 +292,13 @@
     }
 }
 
-fn refused(log: &Logger, routed: &RoutedRequest, progress: &Progress, refusal: Refusal) -> Failure {
+/// Logs that no upstream can take a request, and returns the failure for the caller.
+fn placement_failure(
+    log: &Logger,
+    routed: &RoutedRequest,
+    progress: &Progress,
+    refusal: Refusal,
+) -> Failure {
     let details = slog::o!(
         "request" => routed.facts.id.clone(),
         "service" => routed.service.clone(),
@@ -297,15 +314,16 @@
         };
     }
     match refusal {
-        Refusal::NoUpstream => later(Reason::NoUpstream, REJECTED_MS),
+        Refusal::NoUpstream => retryable_failure(Reason::NoUpstream, REJECTED_RETRY_AFTER_MS),
         Refusal::Busy | Refusal::TooLate => {
-            let spread = rand::random_range(0..=BUSY_SPREAD_MS);
-            later(Reason::Overloaded, BUSY_MS + spread)
+            let jitter_ms = rand::random_range(0..=BUSY_RETRY_JITTER_MS);
+            retryable_failure(Reason::Overloaded, BUSY_RETRY_AFTER_MS + jitter_ms)
         }
     }
 }
 
-fn note(context: &Context, routed: &RoutedRequest, failed_attempt: &FailedAttempt) {
+/// Logs a failed attempt.
+fn log_failed_attempt(context: &Context, routed: &RoutedRequest, failed_attempt: &FailedAttempt) {
     let details = slog::o!(
         "request" => routed.facts.id.clone(),
         "service" => routed.service.clone(),
@@ -317,30 +335,32 @@
     event::emit(&context.log, Event::AttemptFailed, details);
 }
 
-/// Passes a stream on as it arrives.
-fn passed(
+/// Returns the response of a stream that is forwarded as it arrives, without resumption.
+fn forward_stream(
     context: &Arc<Context>,
     routed: &RoutedRequest,
     answered: UpstreamAnswer,
     answer_log: AnswerLog,
 ) -> Response<Body> {
-    let head = answered.returned_head();
+    let head = answered.response_head();
     let gateway = answered.in_flight.gateway().clone();
-    gateway.dispatcher().record_success(&answered.in_flight.run);
+    gateway
+        .dispatcher()
+        .record_success(&answered.in_flight.handle);
     let body = gateway_body::ForwardedBody::new(context, answered, routed.deadline, answer_log);
     Response::from_parts(head, Body::new(body))
 }
 
-/// Reads an answer whole before it is passed on, so that one that breaks off can still fail.
-async fn whole(
+/// Buffers a whole answer before it is forwarded, so that one that breaks off can still be retried.
+async fn buffer_answer(
     context: &Context,
     routed: &RoutedRequest,
     answered: UpstreamAnswer,
 ) -> Result<Response<Body>, retry::Reason> {
-    let head = answered.returned_head();
-    let (body, connection, keep, in_flight) = answered.into_stream();
+    let head = answered.response_head();
+    let (body, connection, idle_limit, in_flight) = answered.into_stream();
     let left = Duration::from_millis(routed.left_ms(context.clock.now()));
-    let collected = Limited::new(body, WHOLE_BYTES).collect();
+    let collected = Limited::new(body, BUFFERED_ANSWER_LIMIT_BYTES).collect();
     let whole: Bytes = match tokio::time::timeout(left, collected).await {
         Err(_) => return Err(retry::Reason::Idle),
         Ok(Err(_)) => return Err(retry::Reason::Cut),
@@ -350,9 +370,9 @@
         in_flight
             .gateway()
             .dispatcher()
-            .record_success(&in_flight.run);
+            .record_success(&in_flight.handle);
     }
-    if let Some(idle) = keep {
+    if let Some(idle) = idle_limit {
         tokio::spawn(connection.release(idle));
     }
     let body = Full::new(whole).map_err(|never| match never {});
--- a/crates/hibiscushoistd/src/gateway_stream.rs
+++ b/crates/hibiscushoistd/src/gateway_stream.rs
@@ -1,5 +1,5 @@
-//! Passes a stream that may be resumed to a caller, and has it go on at another upstream of the
-//! same weights where its upstream breaks off or falls silent.
+//! Forwards a resumable stream to a caller, and resumes it at another upstream with the same
+//! weights if the first one breaks off or becomes unresponsive.
 
 use std::io;
 use std::sync::Arc;
@@ -26,48 +26,50 @@
 use crate::gateway_retry;
 use crate::gateway_retry::FailedAttempt;
 use crate::gateway_retry::Progress;
-use crate::gateway_retry::may_move;
+use crate::gateway_retry::can_move;
 use coordination::retry::Reason;
 use protocol::event_stream::Splitter;
 use transport::event;
 use transport::event::Event;
 use transport::http::Body;
 
-/// Bounds the parts of an answer that wait for the caller.
-const WAITING: usize = 16;
-/// Gives the pause between events after which an upstream is left, as a multiple of the longest
-/// pause that is on time; callers leave after eight times that.
-const SILENT_GAPS: u32 = 3;
-/// Gives the least such pause, which an engine needs to read a long prompt beside its runs.
-const SILENT: Duration = Duration::from_millis(1_200);
-/// Gives the time between two looks at whether a stream that pauses can go on elsewhere.
-const LOOK: Duration = Duration::from_millis(200);
+/// Number of parts of an answer that are buffered for a slow caller.
+const CALLER_BUFFER_PARTS: usize = 16;
+/// Gap between events after which the stream may move to another upstream, as a multiple of the
+/// route's limit for a gap; callers disconnect after eight times that limit.
+const STALL_GAPS: u32 = 3;
+/// Least gap after which the stream may move; the prefill of a long prompt can delay the other
+/// requests of an engine that long.
+const MIN_STALL_TIME: Duration = Duration::from_millis(1_200);
+/// Time between two checks whether another upstream can take over a stalled stream.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 type Part = Result<Frame<Bytes>, io::Error>;
 
-/// Tells how the stream of one upstream ended.
+/// How the stream of one upstream ended.
 enum End {
-    /// Means that the upstream did not complete it.
+    /// The upstream broke it off or stalled.
     Broken(Reason),
-    /// Means that the caller is gone.
+    /// The caller disconnected.
     Caller,
-    /// Means that the stream is complete.
+    /// The stream is complete.
     Complete,
-    /// Means that the caller has no time left.
+    /// The deadline passed.
     Deadline,
 }
 
-struct Pump {
+/// Task that forwards one answer, across all upstreams that contribute to it.
+struct StreamForwarder {
     answer_log: AnswerLog,
     caller: mpsc::Sender<Part>,
     context: Arc<Context>,
     gateway: Arc<Gateway>,
     routed: RoutedRequest,
     splitter: Splitter,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// Passes the stream of `answered` on, and returns the response with its head.
+/// Starts to forward the stream of `answered`, and returns the response with its head.
 pub fn start(
     context: &Arc<Context>,
     gateway: &Arc<Gateway>,
@@ -76,19 +78,19 @@
     answered: UpstreamAnswer,
     answer_log: AnswerLog,
 ) -> Response<Body> {
-    let (caller, parts) = mpsc::channel::<Part>(WAITING);
+    let (caller, parts) = mpsc::channel::<Part>(CALLER_BUFFER_PARTS);
     let left = Duration::from_millis(routed.left_ms(context.clock.now()));
-    let head = answered.returned_head();
-    let pump = Pump {
+    let head = answered.response_head();
+    let forwarder = StreamForwarder {
         answer_log,
         caller,
         context: context.clone(),
         gateway: gateway.clone(),
         splitter: Splitter::new(routed.resume_after),
         routed,
-        until: Instant::now() + left,
+        deadline: Instant::now() + left,
     };
-    tokio::spawn(pump.run(progress, answered));
+    tokio::spawn(forwarder.run(progress, answered));
     let parts = stream::unfold(parts, |mut parts| async {
         let part = parts.recv().await?;
         Some((part, parts))
@@ -96,16 +98,17 @@
     Response::from_parts(head, Body::new(StreamBody::new(parts.boxed())))
 }
 
-impl Pump {
+impl StreamForwarder {
+    /// Forwards the answer until it is complete or cannot be resumed.
     async fn run(mut self, mut progress: Progress, mut answered: UpstreamAnswer) {
         let weights = answered.choice.weights;
         loop {
             let upstream = answered.choice.upstream.id.clone();
             progress.exact_weights = weights;
-            let reason = match self.pass(&progress, answered).await {
-                End::Caller => return self.give_up(Outcome::Left).await,
+            let reason = match self.forward_attempt(&progress, answered).await {
+                End::Caller => return self.abort(Outcome::Left).await,
                 End::Complete => return self.answer_log.set_outcome(Outcome::Whole),
-                End::Deadline => return self.give_up(Outcome::Deadline).await,
+                End::Deadline => return self.abort(Outcome::Deadline).await,
                 End::Broken(reason) => reason,
             };
             self.splitter.restart();
@@ -135,49 +138,50 @@
             );
             event::emit(&self.context.log, Event::StreamBroken, details);
             answered = match next {
-                None => return self.give_up(Outcome::Cut).await,
+                None => return self.abort(Outcome::Cut).await,
                 Some(next) => next,
             };
             self.answer_log.record_resumption(&answered);
         }
     }
 
-    /// Ends the caller's connection without an end mark, so that the answer does not look complete.
-    async fn give_up(&mut self, outcome: Outcome) {
+    /// Breaks off the response without the final chunk, so that the answer does not look complete.
+    async fn abort(&mut self, outcome: Outcome) {
         self.answer_log.set_outcome(outcome);
         let error = io::Error::from(io::ErrorKind::UnexpectedEof);
         let _ = self.caller.send(Err(error)).await;
     }
 
-    async fn pass(&mut self, progress: &Progress, answered: UpstreamAnswer) -> End {
+    /// Forwards the stream of one upstream, in whole events.
+    async fn forward_attempt(&mut self, progress: &Progress, answered: UpstreamAnswer) -> End {
         let upstream = answered.choice.upstream.id.clone();
-        let (mut body, connection, keep, in_flight) = answered.into_stream();
+        let (mut body, connection, idle_limit, in_flight) = answered.into_stream();
         let gap = Duration::from_millis(self.routed.route.max_event_gap_ms);
-        let silent = SILENT.max(gap * SILENT_GAPS);
-        let mut pause = silent;
+        let stall_time = MIN_STALL_TIME.max(gap * STALL_GAPS);
+        let mut check_after = stall_time;
         loop {
             let frame = tokio::select! {
-                frame = next(&mut body) => frame,
-                () = tokio::time::sleep(pause) => {
-                    pause = LOOK;
+                frame = next_bytes(&mut body) => frame,
+                () = tokio::time::sleep(check_after) => {
+                    check_after = STALL_CHECK_INTERVAL;
                     let (context, gateway) = (&self.context, &self.gateway);
-                    if !may_move(context, gateway, &self.routed, progress, &upstream) {
+                    if !can_move(context, gateway, &self.routed, progress, &upstream) {
                         continue;
                     }
                     let now = context.clock.now();
-                    gateway.dispatcher().record_failure(now, &in_flight.run);
+                    gateway.dispatcher().record_failure(now, &in_flight.handle);
                     return End::Broken(Reason::Idle);
                 }
-                () = sleep_until(self.until) => return End::Deadline,
+                () = sleep_until(self.deadline) => return End::Deadline,
                 () = self.caller.closed() => return End::Caller,
             };
-            pause = silent;
+            check_after = stall_time;
             let now = self.context.clock.now();
             let bytes = match frame {
                 None => {
-                    self.gateway.dispatcher().record_success(&in_flight.run);
+                    self.gateway.dispatcher().record_success(&in_flight.handle);
                     let rest = self.splitter.finish();
-                    if let Some(idle) = keep {
+                    if let Some(idle) = idle_limit {
                         tokio::spawn(connection.release(idle));
                     }
                     return match rest.is_empty() || self.send(rest).await {
@@ -188,12 +192,14 @@
                 Some(Err(_)) => {
                     self.gateway
                         .dispatcher()
-                        .record_failure(now, &in_flight.run);
+                        .record_failure(now, &in_flight.handle);
                     return End::Broken(Reason::Cut);
                 }
                 Some(Ok(bytes)) => bytes,
             };
-            self.gateway.dispatcher().record_byte(now, &in_flight.run);
+            self.gateway
+                .dispatcher()
+                .record_byte(now, &in_flight.handle);
             let whole = self.splitter.push(&bytes);
             if !whole.is_empty() && !self.send(whole).await {
                 return End::Caller;
@@ -201,16 +207,17 @@
         }
     }
 
+    /// Sends bytes to the caller; returns whether that succeeded before the deadline.
     async fn send(&self, bytes: Bytes) -> bool {
         tokio::select! {
             sent = self.caller.send(Ok(Frame::data(bytes))) => sent.is_ok(),
-            () = sleep_until(self.until) => false,
+            () = sleep_until(self.deadline) => false,
         }
     }
 }
 
-/// Returns the next bytes of a body.
-async fn next(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
+/// Returns the next data frame of a body and skips trailers.
+async fn next_bytes(body: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     loop {
         match body.frame().await? {
             Err(error) => return Some(Err(error)),
--- a/crates/hibiscushoistd/src/listeners.rs
+++ b/crates/hibiscushoistd/src/listeners.rs
@@ -1,5 +1,5 @@
-//! Binds the addresses for routed services before anything of the daemon starts, so that other
-//! hosts are told the addresses that were bound.
+//! Binds the addresses for routed services before the rest of the daemon starts, so that the host
+//! announces the addresses that were actually bound.
 
 use std::net::SocketAddr;
 
@@ -10,34 +10,34 @@
 use crate::daemon::Error;
 use crate::settings::Settings;
 
-/// Holds the listeners for routed services.
+/// Listeners for routed services.
 #[derive(Debug, Default)]
 pub struct Listeners {
-    /// Takes the requests of callers.
+    /// Routed requests of callers.
     pub callers: Option<TcpListener>,
-    /// Takes the calls of operators, and of callers that ask where to connect.
+    /// Requests of operators, and of callers that look up host addresses.
     pub control: Vec<TcpListener>,
-    /// Takes checks whether the host takes callers.
+    /// Readiness checks.
     pub readiness: Option<TcpListener>,
 }
 
-/// Holds the addresses for routed services as they were bound.
+/// Bound addresses for routed services; a port 0 of the settings is replaced by the real one.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct BoundAddresses {
-    /// Takes the requests of callers.
+    /// Routed requests of callers.
     pub callers: Option<SocketAddr>,
-    /// Takes the calls of operators, and of callers that ask where to connect.
+    /// Requests of operators, and of callers that look up host addresses.
     pub control: Vec<SocketAddr>,
-    /// Takes checks whether the host takes callers.
+    /// Readiness checks.
     pub readiness: Option<SocketAddr>,
 }
 
 impl Listeners {
-    /// Binds what the settings name.
+    /// Binds the addresses of the section `[gateway]`.
     ///
     /// # Errors
     ///
-    /// Returns an error that names an address that cannot be bound.
+    /// Returns an error with the address that cannot be bound.
     pub async fn open(settings: &Settings) -> Result<Self, Report<Error>> {
         let Some(gateway) = &settings.gateway else {
             return Ok(Self::default());
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Returns the addresses.
+    /// Returns the bound addresses.
     pub fn bound(&self) -> BoundAddresses {
         let address = |listener: &TcpListener| listener.local_addr().ok();
         BoundAddresses {
@@ -64,6 +64,7 @@
     }
 }
 
+/// Binds an address, if there is one.
 async fn bind_optional(address: Option<SocketAddr>) -> Result<Option<TcpListener>, Report<Error>> {
     match address {
         None => Ok(None),
--- a/crates/hibiscushoistd/src/platform_api.rs
+++ b/crates/hibiscushoistd/src/platform_api.rs
@@ -1,4 +1,5 @@
-//! Answers the platform's calls: operators, callers that ask where to connect, and checks.
+//! HTTP endpoints of the platform: operations on the routed table, the list of hosts that callers
+//! may connect to, and readiness checks.
 
 use std::sync::Arc;
 
@@ -25,7 +26,7 @@
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain";
 
-/// Answers operators, and callers that ask where to connect.
+/// Answers requests of operators, and of callers that look up host addresses.
 pub fn answer_control(
     context: Arc<Context>,
     request: Request,
@@ -34,8 +35,8 @@
         let method = request.method.clone();
         match (method, request.uri.path()) {
             (Method::GET, path::ADDRESSES) => addresses(&context),
-            (Method::GET, path::TABLE_READ) => table_read(&context, &request.id).await,
-            (Method::POST, path::TABLE_REPLACE) => table_replace(&context, request).await,
+            (Method::GET, path::TABLE_READ) => read_table(&context, &request.id).await,
+            (Method::POST, path::TABLE_REPLACE) => replace_table(&context, request).await,
             (Method::POST, path::WEIGHTS) => name_weights(&context, request).await,
             _ => caller::refuse(&request.id, Reason::UnknownPath),
         }
@@ -43,7 +44,7 @@
     .boxed()
 }
 
-/// Answers whether this host takes callers.
+/// Answers a readiness check: the host is ready if it does not drain and has a fresh snapshot.
 pub fn answer_readiness(
     context: Arc<Context>,
     request: Request,
@@ -60,19 +61,21 @@
     .boxed()
 }
 
-/// Lists the hosts that take callers; those that only may be gone come in where no other is known.
+/// Returns the addresses of the hosts that accept callers; of suspected hosts only if no host is
+/// alive.
 fn addresses(context: &Context) -> Response<Body> {
     let view = context.view();
-    let open = |standing: Standing| {
+    let with_standing = |standing: Standing| {
         let hosts = view.present(Role::Entry);
         let hosts = hosts.filter(move |host| host.record.standing == standing);
-        let open = hosts.filter(|host| !host.record.profile.draining);
-        open.filter_map(|host| host.record.profile.gateway)
+        let accepting = hosts.filter(|host| !host.record.profile.draining);
+        accepting
+            .filter_map(|host| host.record.profile.gateway)
             .collect::<Vec<_>>()
     };
-    let mut addresses = open(Standing::Alive);
+    let mut addresses = with_standing(Standing::Alive);
     if addresses.is_empty() {
-        addresses = open(Standing::Suspect);
+        addresses = with_standing(Standing::Suspect);
     }
     let lifetime = context.settings.entry.as_ref();
     let lifetime = lifetime.map_or(0, |entry| entry.address_lifetime.as_millis() as u64);
@@ -82,15 +85,17 @@
     }
 }
 
-async fn table_read(context: &Context, id: &str) -> Response<Body> {
+/// Answers with the routed table, byte for byte as an operator sent it.
+async fn read_table(context: &Context, id: &str) -> Response<Body> {
     match context.voter.source().await {
         Ok(source) if !source.is_empty() => respond::whole(200, JSON, source.as_str().to_owned()),
         Ok(_) | Err(_) => caller::refuse(id, Reason::QuorumAway),
     }
 }
 
-async fn table_replace(context: &Context, mut request: Request) -> Response<Body> {
-    let Some(bytes) = body(context, &mut request).await else {
+/// Replaces the routed table, unless the table in force has the same or a higher version.
+async fn replace_table(context: &Context, mut request: Request) -> Response<Body> {
+    let Some(bytes) = read_body(context, &mut request).await else {
         return caller::refuse(&request.id, Reason::BadRequest);
     };
     let table = match configuration::decode(&bytes) {
@@ -104,23 +109,24 @@
     let Ok(source) = String::from_utf8(bytes.to_vec()) else {
         return caller::refuse(&request.id, Reason::BadRequest);
     };
-    let asked = table.version;
+    let requested_version = table.version;
     match context.voter.route(Arc::new(source), Arc::new(table)).await {
         Err(error) => {
-            let details = slog::o!("version" => asked, "error" => error.to_string());
+            let details = slog::o!("version" => requested_version, "error" => error.to_string());
             event::emit(&context.log, Event::RoutesUnanswered, details);
             caller::refuse(&request.id, Reason::QuorumAway)
         }
         Ok(version) => {
-            let details = slog::o!("version" => asked, "in_force" => version);
+            let details = slog::o!("version" => requested_version, "in_force" => version);
             event::emit(&context.log, Event::RoutesAccepted, details);
             respond::whole(200, JSON, "{}")
         }
     }
 }
 
+/// Sets the newest weights version of a model.
 async fn name_weights(context: &Context, mut request: Request) -> Response<Body> {
-    let bytes = body(context, &mut request).await;
+    let bytes = read_body(context, &mut request).await;
     let Some(Ok((model, version))) = bytes.map(weights::decode) else {
         return caller::refuse(&request.id, Reason::BadRequest);
     };
@@ -134,7 +140,8 @@
     }
 }
 
-async fn body(context: &Context, request: &mut Request) -> Option<bytes::Bytes> {
+/// Reads the body of a request within the limits of the section `[entry]`.
+async fn read_body(context: &Context, request: &mut Request) -> Option<bytes::Bytes> {
     let entry = context.settings.entry.as_ref()?;
     let read = request.read(entry.body_limit, entry.body_timeout).await;
     read.ok()
--- a/crates/hibiscushoistd/src/routing_snapshot.rs
+++ b/crates/hibiscushoistd/src/routing_snapshot.rs
@@ -1,4 +1,5 @@
-//! Keeps what a host that serves callers knows of the routed table and the upstreams.
+//! Local copy of the routed table, the upstreams and the weights on a host that serves callers,
+//! kept up to date by polling the leader.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,29 +23,29 @@
 use transport::event::Event;
 use transport::metric;
 
-/// Bounds one ask; a voter answers within a round trip and a turn of its thread.
-const CALL_LIMIT: Duration = Duration::from_millis(600);
-/// Gives the least time between asks: what others have under way changes within a tenth of a
-/// second.
-const PERIOD_MS: u64 = 100;
-/// Gives how much longer each host waits for every host in the fleet, in milliseconds, so that all
-/// together ask the leading voter at most 1,000 times a second, which takes it a tenth of a core.
-const PERIOD_PER_HOST_MS: u64 = 1;
-/// Gives the pause after an ask that got no answer.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Timeout of one poll; a voter answers within a round trip and one turn of its thread.
+const POLL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Least time between polls, in milliseconds: the requests in flight of other hosts change within a
+/// tenth of a second.
+const MIN_POLL_INTERVAL_MS: u64 = 100;
+/// Least time between polls per host that serves callers, in milliseconds. All hosts together then
+/// poll the leader at most 1,000 times a second, which costs it a tenth of a core.
+const MIN_POLL_INTERVAL_PER_HOST_MS: u64 = 1;
+/// Pause after a poll that failed.
+const FAILURE_PAUSE: Duration = Duration::from_millis(50);
 
-/// Holds what this host knows.
+/// State of the fleet that the leader sent last.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// Lists the upstreams.
+    /// Upstreams of all services.
     pub fleet: Arc<Fleet>,
-    /// Holds the routed table.
+    /// Routed table, indexed for lookups.
     pub index: Arc<RoutingIndex>,
-    /// Gives the newest weights version of each model.
+    /// Newest weights version of each model.
     pub weights: BTreeMap<String, u64>,
 }
 
-/// Shows what this host knows.
+/// Read access to the latest snapshot and its age.
 #[derive(Clone)]
 pub struct Handle {
     freshness: Arc<Mutex<Freshness>>,
@@ -53,7 +54,8 @@
 }
 
 impl Handle {
-    /// Returns what this host knows, where it is young enough to rely on.
+    /// Returns the latest snapshot, unless the last successful poll is too long ago or no table has
+    /// arrived yet.
     pub fn fresh(&self, context: &Context) -> Option<Arc<Snapshot>> {
         let freshness = *self
             .freshness
@@ -64,7 +66,8 @@
         usable.then_some(snapshot)
     }
 
-    /// Returns the age of what this host knows, in milliseconds.
+    /// Returns the time since the start of the last successful poll, in milliseconds, if there was
+    /// one.
     pub fn age_ms(&self, context: &Context) -> Option<u64> {
         let freshness = *self
             .freshness
@@ -73,26 +76,27 @@
         freshness.age_ms(context.clock.now())
     }
 
-    /// Returns the voter that leads, as long as it answers this host.
+    /// Returns the address of the leader, if the last poll succeeded.
     pub fn leader(&self) -> Option<SocketAddr> {
         *self.leader.borrow()
     }
 
-    /// Returns what this host knows, however old it is.
+    /// Returns the latest snapshot, however old it is.
     pub fn latest(&self) -> Arc<Snapshot> {
         self.snapshot.borrow().clone()
     }
 
-    /// Returns what this host knows and its later versions.
+    /// Returns a receiver of the latest snapshot and all later ones.
     pub fn subscribe(&self) -> watch::Receiver<Arc<Snapshot>> {
         self.snapshot.clone()
     }
 }
 
-/// Returns a handle that shows nothing until [`Keeper::run`] has asked.
+/// Returns an updater and a handle to its snapshots, which are empty until [`Updater::run`] has
+/// polled the leader. A snapshot counts as fresh for the duration `limit`.
 pub fn channel(limit: Duration) -> (Updater, Handle) {
-    let (publish, snapshot) = watch::channel(Arc::default());
-    let (lead, leader) = watch::channel(None);
+    let (snapshot_sender, snapshot) = watch::channel(Arc::default());
+    let (leader_sender, leader) = watch::channel(None);
     let limit = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
     let freshness = Arc::new(Mutex::new(Freshness::new(limit)));
     let handle = Handle {
@@ -102,41 +106,42 @@
     };
     let updater = Updater {
         freshness,
-        lead,
-        publish,
+        leader_sender,
+        snapshot_sender,
     };
     (updater, handle)
 }
 
-/// Asks the voter that leads, again and again.
+/// Polls the leader for updates and publishes them as snapshots.
 pub struct Updater {
     freshness: Arc<Mutex<Freshness>>,
-    lead: watch::Sender<Option<SocketAddr>>,
-    publish: watch::Sender<Arc<Snapshot>>,
+    leader_sender: watch::Sender<Option<SocketAddr>>,
+    snapshot_sender: watch::Sender<Arc<Snapshot>>,
 }
 
 impl Updater {
-    /// Asks until the task is dropped.
+    /// Polls until the task is dropped.
     pub async fn run(self, context: Arc<Context>) {
-        let mut heard = Position::default();
+        let mut prefix_position = Position::default();
         let mut leader: Option<SocketAddr> = None;
-        let mut turn = rand::random::<u32>() as usize;
+        let mut next_voter = rand::random::<u32>() as usize;
         loop {
             let target = leader.or_else(|| {
                 let voters = voters(&context);
-                turn = turn.wrapping_add(1);
-                voters.get(turn % voters.len().max(1)).copied()
+                next_voter = next_voter.wrapping_add(1);
+                voters.get(next_voter % voters.len().max(1)).copied()
             });
             let Some(target) = target else {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(FAILURE_PAUSE).await;
                 continue;
             };
-            let asked = self.ask(&context, target, &mut heard).await;
-            self.lead.send_replace(asked.is_ok().then_some(target));
-            match asked {
+            let result = self.poll(&context, target, &mut prefix_position).await;
+            self.leader_sender
+                .send_replace(result.is_ok().then_some(target));
+            match result {
                 Ok(()) => {
                     leader = Some(target);
-                    tokio::time::sleep(period(&context)).await;
+                    tokio::time::sleep(poll_interval(&context)).await;
                 }
                 Err(hint) => {
                     if let Some(gateway) = &context.gateway {
@@ -145,43 +150,47 @@
                             .requeue_prefix_updates(context.clock.now());
                     }
                     leader = hint.filter(|hint| *hint != target);
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(FAILURE_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Asks one voter; an error names the one that leads, if the voter knew it.
-    async fn ask(
+    /// Polls one voter: sends the loads and cached prefixes of this host, and applies the answer.
+    ///
+    /// # Errors
+    ///
+    /// Returns the address of the leader, if the voter does not lead and knows who does.
+    async fn poll(
         &self,
         context: &Context,
         target: SocketAddr,
-        heard: &mut Position,
+        prefix_position: &mut Position,
     ) -> Result<(), Option<SocketAddr>> {
         let pool = context.pool.as_ref().ok_or(None)?;
-        let snapshot = self.publish.borrow().clone();
-        let asked = context.clock.now();
-        let shared = context.gateway.as_ref().map(|gateway| {
+        let snapshot = self.snapshot_sender.borrow().clone();
+        let polled_at = context.clock.now();
+        let local_updates = context.gateway.as_ref().map(|gateway| {
             let mut dispatcher = gateway.dispatcher();
             (
                 dispatcher.take_assignment_ids(),
-                dispatcher.loads(asked),
-                dispatcher.take_prefix_updates(asked),
+                dispatcher.loads(polled_at),
+                dispatcher.take_prefix_updates(polled_at),
             )
         });
-        let (assignment_ids, loads, cached_prefixes) = shared.unwrap_or_default();
-        let ask = Request {
+        let (assignment_ids, loads, cached_prefixes) = local_updates.unwrap_or_default();
+        let request = Request {
             edition: snapshot.fleet.edition,
             assignment_ids,
-            prefix_position: *heard,
+            prefix_position: *prefix_position,
             host: context.settings.name.clone(),
             loads,
             cached_prefixes,
             table_version: snapshot.index.table().version,
         };
         let client = pool.client(target, None);
-        let call = client.call(CALL_LIMIT, |peer, call| async move {
-            peer.routing_update(call, ask).await
+        let call = client.call(POLL_TIMEOUT, |peer, call| async move {
+            peer.routing_update(call, request).await
         });
         let mut update = match call.await {
             Err(error) => {
@@ -201,21 +210,22 @@
             let mut dispatcher = gateway.dispatcher();
             dispatcher.set_other_loads(now, loads);
             dispatcher.record_remote_prefixes(now, cached_prefixes);
-            if heard.term != update.prefix_position.term {
+            if prefix_position.term != update.prefix_position.term {
                 dispatcher.requeue_prefix_updates(now);
             }
         }
-        *heard = update.prefix_position;
-        self.take(context, &snapshot, update);
+        *prefix_position = update.prefix_position;
+        self.publish_changes(context, &snapshot, update);
         let mut freshness = self
             .freshness
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        freshness.confirm(asked);
+        freshness.confirm(polled_at);
         Ok(())
     }
 
-    fn take(&self, context: &Context, snapshot: &Snapshot, update: RoutingUpdate) {
+    /// Publishes a new snapshot if the update contains a change.
+    fn publish_changes(&self, context: &Context, snapshot: &Snapshot, update: RoutingUpdate) {
         let newer = |table: &Arc<_>| {
             let table: &Arc<state::routing::Table> = table;
             table.version > snapshot.index.table().version
@@ -229,7 +239,7 @@
             let details = slog::o!("version" => table.version, "routes" => table.routes.len());
             event::emit(&context.log, Event::RoutesApplied, details);
         }
-        self.publish.send_replace(Arc::new(Snapshot {
+        self.snapshot_sender.send_replace(Arc::new(Snapshot {
             fleet: fleet.map_or_else(|| snapshot.fleet.clone(), Arc::new),
             index: table.map_or_else(
                 || snapshot.index.clone(),
@@ -240,19 +250,19 @@
     }
 }
 
-/// Returns the time between asks.
-fn period(context: &Context) -> Duration {
+/// Returns the time between polls.
+fn poll_interval(context: &Context) -> Duration {
     let hosts = context.view().present(Role::Entry).count() as u64;
-    Duration::from_millis(PERIOD_MS.max(hosts * PERIOD_PER_HOST_MS))
+    Duration::from_millis(MIN_POLL_INTERVAL_MS.max(hosts * MIN_POLL_INTERVAL_PER_HOST_MS))
 }
 
-/// Lists the voters that this host knows of.
+/// Returns the addresses of the voters: those in the member list, then those in the settings.
 fn voters(context: &Context) -> Vec<SocketAddr> {
     let view = context.view();
     let present = view.present(Role::Voter);
     let mut voters: Vec<SocketAddr> = present.map(|m| m.record.profile.peer).collect();
-    let first = context.settings.voters.iter().map(|voter| voter.address);
-    for address in first {
+    let configured = context.settings.voters.iter().map(|voter| voter.address);
+    for address in configured {
         if !voters.contains(&address) {
             voters.push(address);
         }
