--- a/crates/hibiscushoistd/src/peer.rs
+++ b/crates/hibiscushoistd/src/peer.rs
@@ -198,7 +198,7 @@
 
 /// Answers the calls of other daemons until the task is dropped.
 pub async fn run(listener: TcpListener, identity: Arc<Identity>, service: Service, log: Logger) {
-    let serve = move |connection: peer_server::Inbound| {
+    let serve = move |connection: peer_server::InboundConnection| {
         let service = service.clone();
         async move {
             BaseChannel::with_defaults(connection.frames)
--- a/crates/transport/src/channel.rs
+++ b/crates/transport/src/channel.rs
@@ -1,33 +1,33 @@
-//! Bounded channels between the threads of a process.
+//! Bounded channels between the threads of a process, whose senders never block.
 
 use std::time::Duration;
 
 use crossbeam_channel as channel;
 use thiserror::Error;
 
-/// Tells why a channel took no message.
+/// Reason why a message was not sent.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum SendError {
-    /// Reports that the receiving duty has ended.
-    #[error("the receiving duty has ended")]
+    /// The receiver was dropped.
+    #[error("the receiving thread has ended")]
     Closed,
-    /// Reports that the channel holds as many messages as it may.
+    /// The channel holds as many messages as its capacity allows.
     #[error("the channel is full")]
     Full,
 }
 
-/// Tells why a channel gave no message.
+/// Reason why no message was received.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum ReceiveError {
-    /// Reports that every sender is gone.
-    #[error("every sender is gone")]
+    /// Every sender was dropped and no message is left.
+    #[error("every sender of the channel was dropped")]
     Closed,
-    /// Reports that nothing came in time.
-    #[error("nothing came in time")]
+    /// No message arrived in time.
+    #[error("no message arrived in time")]
     Timeout,
 }
 
-/// Puts messages into a channel.
+/// Sending half of a bounded channel.
 #[derive(Debug)]
 pub struct Sender<T>(channel::Sender<T>);
 
@@ -38,7 +38,7 @@
 }
 
 impl<T> Sender<T> {
-    /// Returns how many messages wait.
+    /// Returns the number of messages that wait.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -48,11 +48,11 @@
         self.0.is_empty()
     }
 
-    /// Puts `message` into the channel without waiting.
+    /// Sends `message` without blocking.
     ///
     /// # Errors
     ///
-    /// Returns an error when the channel is full or its receiver is gone; the message is dropped.
+    /// Returns an error when the channel is full or has no receiver; the message is dropped.
     pub fn send(&self, message: T) -> Result<(), SendError> {
         self.0.try_send(message).map_err(|error| match error {
             channel::TrySendError::Disconnected(_) => SendError::Closed,
@@ -61,16 +61,16 @@
     }
 }
 
-/// Takes messages from a channel.
+/// Receiving half of a bounded channel.
 #[derive(Debug)]
 pub struct Receiver<T>(channel::Receiver<T>);
 
 impl<T> Receiver<T> {
-    /// Waits at most `timeout` for a message.
+    /// Receives a message, waiting at most `timeout`.
     ///
     /// # Errors
     ///
-    /// Returns an error when nothing came in time or every sender is gone.
+    /// Returns an error when no message arrived in time or every sender was dropped.
     pub fn receive(&self, timeout: Duration) -> Result<T, ReceiveError> {
         self.0.recv_timeout(timeout).map_err(|error| match error {
             channel::RecvTimeoutError::Disconnected => ReceiveError::Closed,
@@ -78,13 +78,13 @@
         })
     }
 
-    /// Takes a message that already waits.
+    /// Returns a message if one already waits.
     pub fn try_receive(&self) -> Option<T> {
         self.0.try_recv().ok()
     }
 }
 
-/// Makes a channel that holds at most `capacity` messages.
+/// Creates a channel that holds at most `capacity` messages.
 pub fn bounded<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (sender, receiver) = channel::bounded(capacity);
     (Sender(sender), Receiver(receiver))
--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -1,4 +1,4 @@
-//! One supervised connection to each other daemon.
+//! Client for calls to another daemon, over one supervised connection.
 
 use std::fmt;
 use std::future::Future;
@@ -19,142 +19,145 @@
 use tokio::time::timeout;
 
 use crate::metric;
-use crate::peer_frame::Count;
+use crate::peer_frame::FrameCounter;
 use crate::peer_handshake;
 use crate::peer_handshake::Identity;
 use protocol::peer::PeerClient;
 
-/// Tells why a call to a peer failed.
+/// Reason why a call to a peer failed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Reports too many calls in flight to this peer; nothing was sent.
+    /// Too many calls to this peer are in flight; nothing was sent.
     #[error("{limit} calls to {address} are already in flight")]
     Busy {
-        /// Gives the peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Gives the greatest number of calls in flight.
+        /// Maximum number of calls in flight.
         limit: usize,
     },
-    /// Reports a peer that cannot be reached or proved no key; nothing was sent.
+    /// The peer cannot be reached or the handshake failed; nothing was sent.
     #[error("no connection to {address}: {source}")]
     Connect {
-        /// Gives the peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Tells what failed.
+        /// Error of the connection attempt or the handshake.
         source: peer_handshake::Error,
     },
-    /// Reports a call that was not answered in time; the peer may have acted on it.
+    /// The peer did not answer in time; it may have executed the call.
     #[error("{address} did not answer within {limit:?}")]
-    Deadline {
-        /// Gives the peer's address.
+    DeadlineExceeded {
+        /// Address of the peer.
         address: SocketAddr,
-        /// Gives the time allowed.
+        /// Time allowed for the call.
         limit: Duration,
     },
-    /// Reports a connection that broke or fell silent; the peer may have acted on the call.
+    /// The connection broke or became unresponsive; the peer may have executed the call.
     #[error("the connection to {address} broke: {source}")]
     Lost {
-        /// Gives the peer's address.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Tells what failed.
+        /// Error of the RPC layer.
         source: RpcError,
     },
-    /// Reports another host at the address; nothing was sent.
+    /// Another host answered at the address; nothing was sent.
     #[error("{address} is host `{found}`, not `{expected}`")]
-    Other {
-        /// Gives the address.
+    WrongHost {
+        /// Address of the peer.
         address: SocketAddr,
-        /// Names the host that was meant.
+        /// Name of the host that was expected.
         expected: String,
-        /// Names the host that answered.
+        /// Name of the host that answered.
         found: String,
     },
 }
 
 impl Error {
-    /// Returns whether the peer certainly never saw the call.
+    /// Returns whether the call certainly never reached the peer, so that a retry is safe.
     pub fn not_sent(&self) -> bool {
         match self {
-            Self::Busy { .. } | Self::Connect { .. } | Self::Other { .. } => true,
-            Self::Deadline { .. } | Self::Lost { .. } => false,
+            Self::Busy { .. } | Self::Connect { .. } | Self::WrongHost { .. } => true,
+            Self::DeadlineExceeded { .. } | Self::Lost { .. } => false,
         }
     }
 }
 
-/// Sets the limits of a connection.
+/// Timeouts and limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    connect: Duration,
-    heartbeat: Duration,
-    idle: Duration,
-    in_flight: usize,
-    silence: Duration,
+    connect_timeout: Duration,
+    heartbeat_interval: Duration,
+    idle_timeout: Duration,
+    max_in_flight: usize,
+    ping_timeout: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(1_000),
-            heartbeat: Duration::from_millis(500),
-            idle: Duration::from_secs(30),
-            in_flight: 1_024,
-            silence: Duration::from_millis(1_000),
+            connect_timeout: Duration::from_millis(1_000),
+            heartbeat_interval: Duration::from_millis(500),
+            idle_timeout: Duration::from_secs(30),
+            max_in_flight: 1_024,
+            ping_timeout: Duration::from_millis(1_000),
         }
     }
 }
 
 impl Options {
-    /// Sets the time allowed to connect, the handshake included.
-    pub fn connect(mut self, limit: Duration) -> Self {
-        self.connect = limit;
+    /// Sets the time allowed to connect, including the handshake.
+    pub fn connect_timeout(mut self, limit: Duration) -> Self {
+        self.connect_timeout = limit;
         self
     }
 
-    /// Sets the time between heartbeats on a connection that is in use.
-    pub fn heartbeat(mut self, interval: Duration) -> Self {
-        self.heartbeat = interval;
+    /// Sets the time between liveness checks of a connection that is in use.
+    pub fn heartbeat_interval(mut self, interval: Duration) -> Self {
+        self.heartbeat_interval = interval;
         self
     }
 
     /// Sets the time after which an unused connection is closed.
-    pub fn idle(mut self, limit: Duration) -> Self {
-        self.idle = limit;
+    pub fn idle_timeout(mut self, limit: Duration) -> Self {
+        self.idle_timeout = limit;
         self
     }
 
-    /// Sets how many calls may be in flight.
-    pub fn in_flight(mut self, limit: usize) -> Self {
-        self.in_flight = limit;
+    /// Sets the maximum number of calls in flight.
+    pub fn max_in_flight(mut self, limit: usize) -> Self {
+        self.max_in_flight = limit;
         self
     }
 
-    /// Sets how long a heartbeat may stay unanswered before the connection is replaced.
-    pub fn silence(mut self, limit: Duration) -> Self {
-        self.silence = limit;
+    /// Sets how long a ping may stay unanswered before the connection is replaced.
+    pub fn ping_timeout(mut self, limit: Duration) -> Self {
+        self.ping_timeout = limit;
         self
     }
 }
 
 #[derive(Clone)]
-struct Live {
+struct OpenConnection {
     client: PeerClient,
-    count: Count,
-    ended: watch::Receiver<()>,
+    frame_counter: FrameCounter,
+    closed: watch::Receiver<()>,
     host: String,
-    used: Arc<Mutex<Instant>>,
+    last_used: Arc<Mutex<Instant>>,
 }
 
-impl Live {
-    fn is_ended(&self) -> bool {
-        self.ended.has_changed().is_err()
+impl OpenConnection {
+    fn is_closed(&self) -> bool {
+        self.closed.has_changed().is_err()
     }
 
-    fn touch(&self) {
-        *self.used.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+    fn mark_used(&self) {
+        *self
+            .last_used
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
-    fn unused(&self) -> Duration {
-        self.used
+    fn idle_time(&self) -> Duration {
+        self.last_used
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .elapsed()
@@ -162,44 +165,46 @@
 }
 
 #[derive(Debug)]
-struct Shared {
+struct ClientShared {
     address: SocketAddr,
     host: Option<String>,
     identity: Arc<Identity>,
-    live: tokio::sync::Mutex<Option<Live>>,
+    open_connection: tokio::sync::Mutex<Option<OpenConnection>>,
     options: Options,
     permits: Arc<Semaphore>,
 }
 
-impl fmt::Debug for Live {
+impl fmt::Debug for OpenConnection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Live").field("host", &self.host).finish()
+        f.debug_struct("OpenConnection")
+            .field("host", &self.host)
+            .finish()
     }
 }
 
-/// Calls one other daemon and replaces the connection whenever it breaks or falls silent.
+/// Client of one other daemon, which replaces its connection once it breaks or is unresponsive.
 #[derive(Clone, Debug)]
 pub struct Client {
-    shared: Arc<Shared>,
+    shared: Arc<ClientShared>,
 }
 
 impl Client {
-    /// Returns a client that connects at its first call.
+    /// Returns a client that connects on its first call.
     ///
-    /// Where `host` is given, a daemon of another name at the address is refused.
+    /// If `host` is given, calls fail when a host of another name answers at the address.
     pub fn new(
         identity: impl Into<Arc<Identity>>,
         address: SocketAddr,
         host: Option<String>,
         options: Options,
     ) -> Self {
-        let shared = Shared {
+        let shared = ClientShared {
             address,
             host,
             identity: identity.into(),
-            live: tokio::sync::Mutex::new(None),
+            open_connection: tokio::sync::Mutex::new(None),
             options,
-            permits: Arc::new(Semaphore::new(options.in_flight)),
+            permits: Arc::new(Semaphore::new(options.max_in_flight)),
         };
         Self {
             shared: Arc::new(shared),
@@ -211,11 +216,12 @@
         self.shared.address
     }
 
-    /// Makes one call, which `call` sends with the context it is given.
+    /// Makes one call within `limit`; `call` sends it with the given RPC client and context.
     ///
     /// # Errors
     ///
-    /// Returns an error that tells whether the peer may have seen the call.
+    /// Returns an error when the call fails; [`Error::not_sent`] says whether it may have reached
+    /// the peer.
     pub async fn call<T, Answer>(
         &self,
         limit: Duration,
@@ -227,64 +233,64 @@
         let address = self.shared.address;
         let _permit = self.shared.permits.try_acquire().map_err(|_| Error::Busy {
             address,
-            limit: self.shared.options.in_flight,
+            limit: self.shared.options.max_in_flight,
         })?;
-        let live = self.live().await?;
-        live.touch();
+        let live = self.open_connection().await?;
+        live.mark_used();
         let mut context = context::current();
         context.deadline = Instant::now() + limit;
         let answer = call(live.client.clone(), context).await;
-        live.touch();
+        live.mark_used();
         answer.map_err(|source| match source {
-            RpcError::DeadlineExceeded => Error::Deadline { address, limit },
+            RpcError::DeadlineExceeded => Error::DeadlineExceeded { address, limit },
             source => Error::Lost { address, source },
         })
     }
 
-    async fn live(&self) -> Result<Live, Error> {
-        let mut slot = self.shared.live.lock().await;
-        if let Some(live) = slot.as_ref().filter(|live| !live.is_ended()) {
+    async fn open_connection(&self) -> Result<OpenConnection, Error> {
+        let mut current = self.shared.open_connection.lock().await;
+        if let Some(live) = current.as_ref().filter(|live| !live.is_closed()) {
             return Ok(live.clone());
         }
         let live = self.shared.open().await?;
-        *slot = Some(live.clone());
+        *current = Some(live.clone());
         Ok(live)
     }
 }
 
-impl Shared {
-    async fn open(&self) -> Result<Live, Error> {
+impl ClientShared {
+    async fn open(&self) -> Result<OpenConnection, Error> {
         let address = self.address;
-        let limit = self.options.connect;
-        let fail = |source| {
+        let limit = self.options.connect_timeout;
+        let connect_error = |source| {
             metrics::counter!(metric::PEER_CONNECT_FAILURES).increment(1);
             Error::Connect { address, source }
         };
         let stream = timeout(limit, TcpStream::connect(address))
             .await
-            .map_err(|_| fail(peer_handshake::Error::Timeout { limit }))?
-            .map_err(|source| fail(source.into()))?;
+            .map_err(|_| connect_error(peer_handshake::Error::Timeout { limit }))?
+            .map_err(|source| connect_error(source.into()))?;
         let connection = peer_handshake::connect(stream, &self.identity, limit)
             .await
-            .map_err(fail)?;
+            .map_err(connect_error)?;
         let found = connection.host;
         if let Some(expected) = self.host.clone().filter(|host| *host != found) {
-            return Err(Error::Other {
+            return Err(Error::WrongHost {
                 address,
                 expected,
                 found,
             });
         }
         metrics::counter!(metric::PEER_CONNECTIONS).increment(1);
-        let count = connection.frames.codec().count();
+        let frame_counter = connection.frames.codec().frame_counter();
         let service = PeerClient::new(tarpc::client::Config::default(), connection.frames);
-        let (ending, ended) = watch::channel(());
-        let live = Live {
+        let (closer, closed) = watch::channel(());
+        let live = OpenConnection {
             client: service.client,
-            count,
-            ended,
+            frame_counter,
+            closed,
             host: found,
-            used: Arc::new(Mutex::new(Instant::now())),
+            last_used: Arc::new(Mutex::new(Instant::now())),
         };
         let watched = live.clone();
         let options = self.options;
@@ -292,34 +298,37 @@
         tokio::spawn(async move {
             tokio::select! {
                 _ = service.dispatch => {}
-                () = watch_silence(&watched, &permits, options) => {}
+                () = watch_liveness(&watched, &permits, options) => {}
             }
-            drop(ending);
+            drop(closer);
         });
         Ok(live)
     }
 }
 
-/// Returns once the connection is silent or has been unused for too long.
-async fn watch_silence(live: &Live, permits: &Semaphore, options: Options) {
-    let mut received = live.count.received();
+/// Returns once the connection is unresponsive or has been idle for `idle_timeout`.
+///
+/// A connection without calls in flight is pinged only for two heartbeat intervals after its last
+/// use. It counts as unresponsive when a ping fails and no frame arrived meanwhile.
+async fn watch_liveness(live: &OpenConnection, permits: &Semaphore, options: Options) {
+    let mut received = live.frame_counter.received();
     loop {
-        tokio::time::sleep(options.heartbeat).await;
-        let busy = permits.available_permits() < options.in_flight;
-        let unused = live.unused();
-        if !busy && unused >= options.idle {
+        tokio::time::sleep(options.heartbeat_interval).await;
+        let busy = permits.available_permits() < options.max_in_flight;
+        let idle_time = live.idle_time();
+        if !busy && idle_time >= options.idle_timeout {
             return;
         }
-        let before = live.count.received();
-        let heard = before != received;
-        received = before;
-        if heard || !busy && unused > options.heartbeat * 2 {
+        let received_now = live.frame_counter.received();
+        let received_any = received_now != received;
+        received = received_now;
+        if received_any || !busy && idle_time > options.heartbeat_interval * 2 {
             continue;
         }
         let mut context = context::current();
-        context.deadline = Instant::now() + options.silence;
+        context.deadline = Instant::now() + options.ping_timeout;
         let answer = live.client.ping(context).await;
-        if answer.is_err() && live.count.received() == before {
+        if answer.is_err() && live.frame_counter.received() == received_now {
             metrics::counter!(metric::PEER_SILENCES).increment(1);
             return;
         }
--- a/crates/transport/src/peer_frame.rs
+++ b/crates/transport/src/peer_frame.rs
@@ -1,4 +1,4 @@
-//! Frames between daemons: bounded, authenticated, in order and bound to one direction.
+//! Frames between daemons: limited in size, authenticated, ordered and bound to one direction.
 
 use std::io;
 use std::marker::PhantomData;
@@ -20,54 +20,57 @@
 use crate::peer_key::TAG_BYTES;
 use crate::peer_key::Tag;
 
-/// Bounds a frame, in bytes.
-pub const FRAME_LIMIT_BYTES: usize = 8 << 20;
+/// Maximum size of a frame with its tag, in bytes.
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-const PURPOSE: &str = "frame";
+/// Separates the tags of frames from other uses of a key.
+const FRAME_PURPOSE: &str = "frame";
 
-/// Tells why a connection between daemons broke.
+/// Reason why a connection between daemons broke.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Reports a frame that is no message.
-    #[error("a peer's frame cannot be read: {0}")]
-    Form(#[from] postcard::Error),
-    /// Reports a connection that failed or a frame over the size limit.
+    /// A message cannot be encoded, or a frame does not decode to a message.
+    #[error("cannot encode or decode a message between peers: {0}")]
+    Encoding(#[from] postcard::Error),
+    /// The connection failed, or a frame exceeds [`MAX_FRAME_BYTES`].
     #[error("the connection to a peer failed: {0}")]
     Io(#[from] io::Error),
-    /// Reports a frame that was changed, repeated, left out or made by someone else.
-    #[error("frame {counter} from a peer is not authentic; the connection is closed")]
-    Tag {
-        /// Gives the number of frames before it.
-        counter: u64,
+    /// A frame was changed, replayed, left out or forged.
+    #[error("frame {frame_number} from a peer is not authentic; the connection is closed")]
+    NotAuthentic {
+        /// Number of frames received before it.
+        frame_number: u64,
     },
 }
 
-/// Returns the codec that splits a stream of bytes into bounded frames.
-pub fn lengths(limit: usize) -> LengthDelimitedCodec {
+/// Returns the codec that splits a stream of bytes into frames of at most `limit` bytes.
+pub fn length_codec(limit: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(limit)
         .new_codec()
 }
 
-/// Counts what passed over a connection.
+/// Shared counter of the frames received on a connection.
 #[derive(Clone, Debug, Default)]
-pub struct Count {
+pub struct FrameCounter {
     received: Arc<AtomicU64>,
 }
 
-impl Count {
-    /// Returns how many frames were received.
+impl FrameCounter {
+    /// Returns the number of frames received.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 }
 
-/// Seals and opens the frames of one end of a connection.
+/// Codec of one end of a connection, which tags outbound frames and verifies inbound ones.
+///
+/// Each tag covers the number of the frame, so that a replayed or missing frame is detected.
 #[derive(Debug)]
 pub struct Codec<Out, In> {
-    count: Count,
+    frame_counter: FrameCounter,
     inbound: Key,
-    lengths: LengthDelimitedCodec,
+    length_codec: LengthDelimitedCodec,
     messages: PhantomData<fn(Out) -> In>,
     outbound: Key,
     received: u64,
@@ -75,12 +78,12 @@
 }
 
 impl<Out, In> Codec<Out, In> {
-    /// Returns a codec that opens with `inbound` and seals with `outbound`.
+    /// Returns a codec that verifies frames with `inbound` and tags them with `outbound`.
     pub fn new(inbound: Key, outbound: Key) -> Self {
         Self {
-            count: Count::default(),
+            frame_counter: FrameCounter::default(),
             inbound,
-            lengths: lengths(FRAME_LIMIT_BYTES),
+            length_codec: length_codec(MAX_FRAME_BYTES),
             messages: PhantomData,
             outbound,
             received: 0,
@@ -88,9 +91,9 @@
         }
     }
 
-    /// Returns the counts of this connection.
-    pub fn count(&self) -> Count {
-        self.count.clone()
+    /// Returns the counter of frames received on this connection.
+    pub fn frame_counter(&self) -> FrameCounter {
+        self.frame_counter.clone()
     }
 }
 
@@ -99,19 +102,21 @@
     type Item = In;
 
     fn decode(&mut self, bytes: &mut BytesMut) -> Result<Option<In>, Error> {
-        let Some(frame) = self.lengths.decode(bytes)? else {
+        let Some(frame) = self.length_codec.decode(bytes)? else {
             return Ok(None);
         };
-        let counter = self.received;
+        let frame_number = self.received;
         let Some((tag, body)) = frame.split_first_chunk::<TAG_BYTES>() else {
-            return Err(Error::Tag { counter });
+            return Err(Error::NotAuthentic { frame_number });
         };
-        let expected = self.inbound.tag(PURPOSE, &[&counter.to_le_bytes(), body]);
+        let expected = self
+            .inbound
+            .tag(FRAME_PURPOSE, &[&frame_number.to_le_bytes(), body]);
         if Tag(*tag) != expected {
-            return Err(Error::Tag { counter });
+            return Err(Error::NotAuthentic { frame_number });
         }
         self.received += 1;
-        self.count.received.fetch_add(1, Ordering::Relaxed);
+        self.frame_counter.received.fetch_add(1, Ordering::Relaxed);
         metrics::counter!(metric::PEER_RECEIVED_BYTES).increment(frame.len() as u64);
         Ok(Some(postcard::from_bytes(body)?))
     }
@@ -122,13 +127,13 @@
 
     fn encode(&mut self, message: Out, bytes: &mut BytesMut) -> Result<(), Error> {
         let body = postcard::to_stdvec(&message)?;
-        let counter = self.sent.to_le_bytes();
-        let Tag(tag) = self.outbound.tag(PURPOSE, &[&counter, &body]);
+        let frame_number = self.sent.to_le_bytes();
+        let Tag(tag) = self.outbound.tag(FRAME_PURPOSE, &[&frame_number, &body]);
         let mut frame = BytesMut::with_capacity(TAG_BYTES + body.len());
         frame.extend_from_slice(&tag);
         frame.extend_from_slice(&body);
         metrics::counter!(metric::PEER_SENT_BYTES).increment(frame.len() as u64);
-        self.lengths.encode(Bytes::from(frame), bytes)?;
+        self.length_codec.encode(Bytes::from(frame), bytes)?;
         self.sent += 1;
         Ok(())
     }
--- a/crates/transport/src/peer_handshake.rs
+++ b/crates/transport/src/peer_handshake.rs
@@ -1,4 +1,8 @@
-//! The mutual handshake that opens a connection between two daemons of one fleet.
+//! Mutual authentication of two daemons of one fleet when a connection opens.
+//!
+//! The client sends a hello with a tag under each of its keys, the server answers with a welcome
+//! under the first key that both hold. Both derive a session key for each direction from that key
+//! and the two messages.
 
 use std::io;
 use std::time::Duration;
@@ -22,64 +26,65 @@
 use crate::peer_key::Tag;
 use protocol::peer::VERSION;
 
-const FRAME_LIMIT_BYTES: usize = 1 << 10;
-const HELLO: &str = "hello";
+/// Maximum size of a handshake message, which is read before the peer is authenticated.
+const MAX_MESSAGE_BYTES: usize = 1 << 10;
+const HELLO_PURPOSE: &str = "hello";
 const NONCE_BYTES: usize = 32;
-const TO_CLIENT: &str = "to client";
-const TO_SERVER: &str = "to server";
-const WELCOME: &str = "welcome";
+const TO_CLIENT_PURPOSE: &str = "to client";
+const TO_SERVER_PURPOSE: &str = "to server";
+const WELCOME_PURPOSE: &str = "welcome";
 
-/// Names a daemon to its peers and holds what proves that it belongs to the fleet.
+/// Name of a daemon among its peers, and the keys that prove that it belongs to the fleet.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Names the fleet.
+    /// Name of the fleet.
     pub fleet: String,
-    /// Names the host.
+    /// Name of the host.
     pub host: String,
-    /// Holds the fleet's keys.
+    /// Keys of the fleet.
     pub keys: Keyring,
 }
 
-/// Tells a client that shares a key why it was refused.
+/// Reason why a server refused an authenticated client; sent to the client.
 #[derive(Clone, Debug, Deserialize, Eq, Error, PartialEq, Serialize)]
 pub enum Refusal {
-    /// Reports the name of another fleet.
+    /// The client belongs to another fleet.
     #[error("the peer belongs to fleet `{expected}`, not `{found}`")]
     Fleet {
-        /// Names the fleet of the server.
+        /// Fleet of the server.
         expected: String,
-        /// Names the fleet of the client.
+        /// Fleet of the client.
         found: String,
     },
-    /// Reports a daemon whose messages have another form.
+    /// The client uses another version of the peer protocol.
     #[error("the peer speaks version {expected}, not {found}")]
     Version {
-        /// Gives the version of the server.
+        /// Protocol version of the server.
         expected: u32,
-        /// Gives the version of the client.
+        /// Protocol version of the client.
         found: u32,
     },
 }
 
-/// Tells why a handshake failed.
+/// Reason why a handshake failed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Reports a handshake message that cannot be read.
-    #[error("a peer's handshake cannot be read: {0}")]
-    Form(#[from] postcard::Error),
-    /// Reports a connection that failed or was closed, as servers do to clients without a key.
+    /// A handshake message cannot be encoded or decoded.
+    #[error("cannot encode or decode a handshake message: {0}")]
+    Encoding(#[from] postcard::Error),
+    /// The connection failed or was closed; a server closes it when the client has no shared key.
     #[error("the peer closed the handshake or cannot be reached: {0}")]
     Io(#[from] io::Error),
-    /// Reports a peer that proves no key that this daemon holds.
+    /// The peer did not prove any key that this daemon holds.
     #[error("the peer holds no key of this fleet; compare `key` and `previous_key`")]
-    Key,
-    /// Reports a refusal by a server that shares a key.
+    NoSharedKey,
+    /// The server authenticated the client and refused it.
     #[error("{0}")]
     Refused(#[from] Refusal),
-    /// Reports a handshake that took too long.
+    /// The handshake took longer than allowed.
     #[error("the peer did not finish the handshake within {limit:?}")]
     Timeout {
-        /// Gives the time allowed.
+        /// Time allowed for the handshake.
         limit: Duration,
     },
 }
@@ -93,7 +98,7 @@
 }
 
 #[derive(Deserialize, Serialize)]
-struct SignedHello {
+struct TaggedHello {
     body: Vec<u8>,
     tags: Vec<Tag>,
 }
@@ -106,28 +111,29 @@
 }
 
 #[derive(Deserialize, Serialize)]
-struct SignedWelcome {
+struct TaggedWelcome {
     body: Vec<u8>,
     key: u8,
     tag: Tag,
 }
 
-/// Carries messages to and from a peer that has proved its key.
+/// Connection to an authenticated peer.
 #[derive(Debug)]
 pub struct Connection<Out, In> {
-    /// Carries the messages.
+    /// Authenticated messages to and from the peer.
     pub frames: Framed<TcpStream, Codec<Out, In>>,
-    /// Names the host at the other end.
+    /// Name of the host at the other end.
     pub host: String,
 }
 
-type Raw = Framed<TcpStream, LengthDelimitedCodec>;
+type HandshakeFrames = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Opens a connection as its client.
+/// Performs the handshake on the client's side, within `limit`.
 ///
 /// # Errors
 ///
-/// Returns an error when the peer cannot be reached, holds no key of the fleet or refuses.
+/// Returns an error when the peer closes the connection, shares no key, refuses the client or takes
+/// too long.
 pub async fn connect<Out, In>(
     stream: TcpStream,
     identity: &Identity,
@@ -137,17 +143,17 @@
     Out: Serialize,
     In: DeserializeOwned,
 {
-    timeout(limit, greet(stream, identity))
+    timeout(limit, client_handshake(stream, identity))
         .await
         .map_err(|_| Error::Timeout { limit })?
 }
 
-/// Opens a connection as its server.
+/// Performs the handshake on the server's side, within `limit`.
 ///
 /// # Errors
 ///
-/// Returns an error when the client holds no key of the fleet, names another fleet or version, or
-/// takes too long. A client without a key gets no answer.
+/// Returns an error when the client shares no key, has another fleet or protocol version, or takes
+/// too long. A client without a shared key gets no answer.
 pub async fn accept<Out, In>(
     stream: TcpStream,
     identity: &Identity,
@@ -157,12 +163,12 @@
     Out: Serialize,
     In: DeserializeOwned,
 {
-    timeout(limit, welcome(stream, identity))
+    timeout(limit, server_handshake(stream, identity))
         .await
         .map_err(|_| Error::Timeout { limit })?
 }
 
-async fn greet<Out, In>(
+async fn client_handshake<Out, In>(
     stream: TcpStream,
     identity: &Identity,
 ) -> Result<Connection<Out, In>, Error>
@@ -170,7 +176,7 @@
     Out: Serialize,
     In: DeserializeOwned,
 {
-    let mut raw = raw(stream)?;
+    let mut frames = handshake_frames(stream)?;
     let hello = postcard::to_stdvec(&Hello {
         fleet: identity.fleet.clone(),
         host: identity.host.clone(),
@@ -178,28 +184,33 @@
         version: VERSION,
     })?;
     let keys: Vec<&Key> = identity.keys.iter().collect();
-    let tags = keys.iter().map(|key| key.tag(HELLO, &[&hello])).collect();
+    let tags = keys
+        .iter()
+        .map(|key| key.tag(HELLO_PURPOSE, &[&hello]))
+        .collect();
     let body = hello.clone();
-    send(&mut raw, &SignedHello { body, tags }).await?;
-    let signed: SignedWelcome = receive(&mut raw).await?;
-    let key = *keys.get(usize::from(signed.key)).ok_or(Error::Key)?;
-    if key.tag(WELCOME, &[&hello, &signed.body]) != signed.tag {
-        return Err(Error::Key);
+    send(&mut frames, &TaggedHello { body, tags }).await?;
+    let tagged: TaggedWelcome = receive(&mut frames).await?;
+    let key = *keys
+        .get(usize::from(tagged.key))
+        .ok_or(Error::NoSharedKey)?;
+    if key.tag(WELCOME_PURPOSE, &[&hello, &tagged.body]) != tagged.tag {
+        return Err(Error::NoSharedKey);
     }
-    let welcome: Welcome = postcard::from_bytes(&signed.body)?;
+    let welcome: Welcome = postcard::from_bytes(&tagged.body)?;
     if let Some(refusal) = welcome.refusal {
         return Err(refusal.into());
     }
-    let transcript = [hello.as_slice(), signed.body.as_slice()];
-    let inbound = key.derive(TO_CLIENT, &transcript);
-    let outbound = key.derive(TO_SERVER, &transcript);
+    let transcript = [hello.as_slice(), tagged.body.as_slice()];
+    let inbound = key.derive(TO_CLIENT_PURPOSE, &transcript);
+    let outbound = key.derive(TO_SERVER_PURPOSE, &transcript);
     Ok(Connection {
-        frames: seal(raw, inbound, outbound),
+        frames: authenticate_frames(frames, inbound, outbound),
         host: welcome.host,
     })
 }
 
-async fn welcome<Out, In>(
+async fn server_handshake<Out, In>(
     stream: TcpStream,
     identity: &Identity,
 ) -> Result<Connection<Out, In>, Error>
@@ -207,50 +218,55 @@
     Out: Serialize,
     In: DeserializeOwned,
 {
-    let mut raw = raw(stream)?;
-    let signed: SignedHello = receive(&mut raw).await?;
-    let (index, key) = agree(&signed, identity).ok_or(Error::Key)?;
-    let hello: Hello = postcard::from_bytes(&signed.body)?;
-    let refusal = judge(&hello, identity);
+    let mut frames = handshake_frames(stream)?;
+    let tagged: TaggedHello = receive(&mut frames).await?;
+    let (index, key) = find_shared_key(&tagged, identity).ok_or(Error::NoSharedKey)?;
+    let hello: Hello = postcard::from_bytes(&tagged.body)?;
+    let refusal = check_compatibility(&hello, identity);
     let body = postcard::to_stdvec(&Welcome {
         host: identity.host.clone(),
         nonce: rand::random(),
         refusal: refusal.clone(),
     })?;
-    let tag = key.tag(WELCOME, &[&signed.body, &body]);
-    let transcript = [signed.body.as_slice(), body.as_slice()];
-    let inbound = key.derive(TO_SERVER, &transcript);
-    let outbound = key.derive(TO_CLIENT, &transcript);
-    let answer = SignedWelcome {
+    let tag = key.tag(WELCOME_PURPOSE, &[&tagged.body, &body]);
+    let transcript = [tagged.body.as_slice(), body.as_slice()];
+    let inbound = key.derive(TO_SERVER_PURPOSE, &transcript);
+    let outbound = key.derive(TO_CLIENT_PURPOSE, &transcript);
+    let answer = TaggedWelcome {
         body,
         key: index,
         tag,
     };
-    send(&mut raw, &answer).await?;
+    send(&mut frames, &answer).await?;
     if let Some(refusal) = refusal {
         return Err(refusal.into());
     }
     Ok(Connection {
-        frames: seal(raw, inbound, outbound),
+        frames: authenticate_frames(frames, inbound, outbound),
         host: hello.host,
     })
 }
 
-fn agree<'a>(signed: &SignedHello, identity: &'a Identity) -> Option<(u8, &'a Key)> {
-    let mine: Vec<(&Key, Tag)> = identity
+fn find_shared_key<'a>(tagged: &TaggedHello, identity: &'a Identity) -> Option<(u8, &'a Key)> {
+    let expected_tags: Vec<(&Key, Tag)> = identity
         .keys
         .iter()
-        .map(|key| (key, key.tag(HELLO, &[&signed.body])))
+        .map(|key| (key, key.tag(HELLO_PURPOSE, &[&tagged.body])))
         .collect();
-    for (index, tag) in signed.tags.iter().take(mine.len().max(2)).enumerate() {
-        if let Some((key, _)) = mine.iter().find(|(_, expected)| expected == tag) {
+    for (index, tag) in tagged
+        .tags
+        .iter()
+        .take(expected_tags.len().max(2))
+        .enumerate()
+    {
+        if let Some((key, _)) = expected_tags.iter().find(|(_, expected)| expected == tag) {
             return Some((index as u8, key));
         }
     }
     None
 }
 
-fn judge(hello: &Hello, identity: &Identity) -> Option<Refusal> {
+fn check_compatibility(hello: &Hello, identity: &Identity) -> Option<Refusal> {
     if hello.fleet != identity.fleet {
         return Some(Refusal::Fleet {
             expected: identity.fleet.clone(),
@@ -263,30 +279,37 @@
     })
 }
 
-fn raw(stream: TcpStream) -> Result<Raw, Error> {
+fn handshake_frames(stream: TcpStream) -> Result<HandshakeFrames, Error> {
     stream.set_nodelay(true)?;
-    Ok(Framed::new(stream, peer_frame::lengths(FRAME_LIMIT_BYTES)))
+    Ok(Framed::new(
+        stream,
+        peer_frame::length_codec(MAX_MESSAGE_BYTES),
+    ))
 }
 
-async fn receive<T: DeserializeOwned>(raw: &mut Raw) -> Result<T, Error> {
+async fn receive<T: DeserializeOwned>(frames: &mut HandshakeFrames) -> Result<T, Error> {
     let closed = || io::Error::from(io::ErrorKind::UnexpectedEof);
-    let frame = raw.next().await.ok_or_else(closed)??;
+    let frame = frames.next().await.ok_or_else(closed)??;
     Ok(postcard::from_bytes(&frame)?)
 }
 
-fn seal<Out, In>(raw: Raw, inbound: Key, outbound: Key) -> Framed<TcpStream, Codec<Out, In>>
+fn authenticate_frames<Out, In>(
+    frames: HandshakeFrames,
+    inbound: Key,
+    outbound: Key,
+) -> Framed<TcpStream, Codec<Out, In>>
 where
     Out: Serialize,
     In: DeserializeOwned,
 {
-    let parts = raw.into_parts();
+    let parts = frames.into_parts();
     let mut sealed = Framed::new(parts.io, Codec::new(inbound, outbound)).into_parts();
     sealed.read_buf = parts.read_buf;
     Framed::from_parts(sealed)
 }
 
-async fn send<T: Serialize>(raw: &mut Raw, message: &T) -> Result<(), Error> {
+async fn send<T: Serialize>(frames: &mut HandshakeFrames, message: &T) -> Result<(), Error> {
     let frame = postcard::to_stdvec(message)?;
-    raw.send(Bytes::from(frame)).await?;
+    frames.send(Bytes::from(frame)).await?;
     Ok(())
 }
--- a/crates/transport/src/peer_key.rs
+++ b/crates/transport/src/peer_key.rs
@@ -1,4 +1,4 @@
-//! The secret that all daemons of a fleet share, and the tags made with it.
+//! The secret key that all daemons of a fleet share, and message authentication with it.
 
 use std::fmt;
 
@@ -7,27 +7,27 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// Gives the length of a key, in bytes.
+/// Length of a key, in bytes.
 pub const KEY_BYTES: usize = 32;
 
-/// Gives the length of a tag, in bytes.
+/// Length of a message authentication tag, in bytes.
 pub const TAG_BYTES: usize = 16;
 
-/// Tells why a text is no key.
+/// Reason why a text is not a valid key.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// Reports a text that is not made of hexadecimal digits.
+    /// The text contains a character that is not a hexadecimal digit.
     #[error("a fleet key is written in hexadecimal digits")]
     Digit,
-    /// Reports a text of another length.
+    /// The text has a wrong length.
     #[error("a fleet key has {} hexadecimal digits, not {found}", KEY_BYTES * 2)]
     Length {
-        /// Gives the number of characters.
+        /// Number of characters in the text.
         found: usize,
     },
 }
 
-/// Authenticates whatever is sent under a key.
+/// Message authentication tag: a truncated keyed BLAKE3 hash, compared in constant time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Tag(pub [u8; TAG_BYTES]);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Holds a secret of 32 bytes.
+/// Secret key; its debug output does not show the bytes.
 #[derive(Clone)]
 pub struct Key([u8; KEY_BYTES]);
 
@@ -50,16 +50,17 @@
 }
 
 impl Key {
-    /// Returns the key of those bytes.
+    /// Returns the key made of `bytes`.
     pub fn new(bytes: [u8; KEY_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// Reads a key from 64 hexadecimal digits.
+    /// Parses a key from 64 hexadecimal digits.
     ///
     /// # Errors
     ///
-    /// Returns an error that tells which form is expected and never repeats the text.
+    /// Returns an error when the text is not a key; the error never repeats the text, which may be
+    /// a secret.
     pub fn parse(text: &str) -> Result<Self, Error> {
         let found = text.chars().count();
         if found != KEY_BYTES * 2 {
@@ -77,12 +78,14 @@
         Ok(Self(bytes))
     }
 
-    /// Returns the key that `purpose` and `parts` yield under this one.
+    /// Derives a key from this one for `purpose` and `parts`.
     pub fn derive(&self, purpose: &str, parts: &[&[u8]]) -> Self {
         Self(*self.hash(purpose, parts).as_bytes())
     }
 
-    /// Returns the tag of `parts`, which are kept apart by their lengths.
+    /// Returns the tag of `parts` for `purpose`.
+    ///
+    /// The length of each part is hashed too, so that bytes cannot move between parts.
     pub fn tag(&self, purpose: &str, parts: &[&[u8]]) -> Tag {
         let mut tag = [0; TAG_BYTES];
         tag.copy_from_slice(&self.hash(purpose, parts).as_bytes()[..TAG_BYTES]);
@@ -101,17 +104,17 @@
     }
 }
 
-/// Holds the key in force and, during a rotation, the one before or after it.
+/// The current key and, during a rotation, the key before or after it.
 #[derive(Clone, Debug)]
 pub struct Keyring {
-    /// Holds the key that new connections use.
+    /// Key that is offered first on new connections.
     pub current: Key,
-    /// Holds another key that is still accepted.
+    /// Other key that is accepted during a rotation.
     pub previous: Option<Key>,
 }
 
 impl Keyring {
-    /// Iterates over the keys, the current one first.
+    /// Iterates over the keys, starting with the current one.
     pub fn iter(&self) -> impl Iterator<Item = &Key> {
         std::iter::once(&self.current).chain(&self.previous)
     }
--- a/crates/transport/src/peer_server.rs
+++ b/crates/transport/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of other daemons.
+//! Server that accepts and authenticates connections of other daemons.
 
 use std::future::Future;
 use std::io;
@@ -19,29 +19,31 @@
 use protocol::peer::PeerRequest;
 use protocol::peer::PeerResponse;
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(2);
-const HANDSHAKES_AT_ONCE: usize = 256;
+/// Pause after a failed accept, so that a lack of file descriptors does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_CONCURRENT_HANDSHAKES: usize = 256;
 
-/// Carries requests from a peer and responses to it.
-pub type Inbound = Connection<Response<PeerResponse>, ClientMessage<PeerRequest>>;
+/// Connection that a peer opened, with its requests and the responses to them.
+pub type InboundConnection = Connection<Response<PeerResponse>, ClientMessage<PeerRequest>>;
 
-/// Tells about a client that was turned away.
-pub type Refused = peer_handshake::Error;
+/// Reason why the handshake with a client failed.
+pub type HandshakeError = peer_handshake::Error;
 
-/// Accepts peers for ever and hands each proved connection to `serve`, in a task of its own.
+/// Accepts connections forever and passes each authenticated one to `serve`, in a task of its own.
 ///
-/// A client that fails the handshake is reported to `refused`; one without a key gets no answer.
-pub async fn run<Served>(
+/// A failed handshake is reported to `on_refused`; a client without a shared key gets no answer.
+/// Connections beyond `MAX_CONCURRENT_HANDSHAKES` unfinished handshakes are dropped.
+pub async fn run<ServeFuture>(
     listener: TcpListener,
     identity: impl Into<Arc<Identity>>,
-    serve: impl Fn(Inbound) -> Served + Clone + Send + 'static,
-    refused: impl Fn(Refused) + Clone + Send + 'static,
+    serve: impl Fn(InboundConnection) -> ServeFuture + Clone + Send + 'static,
+    on_refused: impl Fn(HandshakeError) + Clone + Send + 'static,
 ) where
-    Served: Future<Output = ()> + Send + 'static,
+    ServeFuture: Future<Output = ()> + Send + 'static,
 {
     let identity = identity.into();
-    let handshakes = Arc::new(Semaphore::new(HANDSHAKES_AT_ONCE));
+    let handshakes = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDSHAKES));
     loop {
         let Some(stream) = accept(&listener).await else {
             continue;
@@ -52,15 +54,15 @@
         };
         let identity = Arc::clone(&identity);
         let serve = serve.clone();
-        let refused = refused.clone();
+        let on_refused = on_refused.clone();
         tokio::spawn(async move {
-            let opened = peer_handshake::accept(stream, &identity, HANDSHAKE_LIMIT).await;
+            let opened = peer_handshake::accept(stream, &identity, HANDSHAKE_TIMEOUT).await;
             drop(permit);
             match opened {
                 Err(error) => {
-                    metrics::counter!(metric::PEER_REFUSALS, "reason" => reason(&error))
+                    metrics::counter!(metric::PEER_REFUSALS, "reason" => reason_label(&error))
                         .increment(1);
-                    refused(error);
+                    on_refused(error);
                 }
                 Ok(connection) => serve(connection).await,
             }
@@ -72,18 +74,18 @@
     let accepted: io::Result<_> = listener.accept().await;
     match accepted {
         Err(_) => {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
         Ok((stream, _)) => Some(stream),
     }
 }
 
-fn reason(error: &peer_handshake::Error) -> &'static str {
+fn reason_label(error: &peer_handshake::Error) -> &'static str {
     match error {
-        peer_handshake::Error::Form(_) => "form",
+        peer_handshake::Error::Encoding(_) => "form",
         peer_handshake::Error::Io(_) => "closed",
-        peer_handshake::Error::Key => "key",
+        peer_handshake::Error::NoSharedKey => "key",
         peer_handshake::Error::Refused(peer_handshake::Refusal::Fleet { .. }) => "fleet",
         peer_handshake::Error::Refused(peer_handshake::Refusal::Version { .. }) => "version",
         peer_handshake::Error::Timeout { .. } => "timeout",
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Tests of the connections between daemons, over loopback.
+//! Tests of peer calls between daemons over loopback: authentication, refusals and liveness.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -50,18 +50,18 @@
 use transport::peer_key::Keyring;
 use transport::peer_server;
 
-const LIMIT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Clone)]
 struct Echo {
     calls: Arc<AtomicUsize>,
-    stalls: bool,
+    hangs: bool,
 }
 
 impl Peer for Echo {
     async fn gossip(self, _: Context, message: Message) -> Message {
         self.calls.fetch_add(1, Ordering::SeqCst);
-        if self.stalls {
+        if self.hangs {
             std::future::pending::<()>().await;
         }
         message
@@ -102,12 +102,12 @@
     async fn place(
         self,
         _: Context,
-        ask: broker::PlacementRequest,
+        request: broker::PlacementRequest,
     ) -> Result<Box<Grant>, admission::Refusal> {
         Err(admission::Refusal {
             reason: admission::Reason::NoUpstream,
             retry_after_ms: 0,
-            placement_id: ask.placement_id,
+            placement_id: request.placement_id,
         })
     }
 
@@ -146,7 +146,7 @@
     }
 }
 
-struct Server {
+struct TestServer {
     address: SocketAddr,
     calls: Arc<AtomicUsize>,
     refused: mpsc::UnboundedReceiver<peer_handshake::Error>,
@@ -163,16 +163,16 @@
     }
 }
 
-async fn start(identity: Identity, stalls: bool) -> Server {
+async fn start_server(identity: Identity, hangs: bool) -> TestServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let calls = Arc::new(AtomicUsize::new(0));
     let echo = Echo {
         calls: Arc::clone(&calls),
-        stalls,
+        hangs,
     };
     let (report, refused) = mpsc::unbounded_channel();
-    let serve = move |connection: peer_server::Inbound| {
+    let serve = move |connection: peer_server::InboundConnection| {
         let echo = echo.clone();
         async move {
             BaseChannel::with_defaults(connection.frames)
@@ -184,7 +184,7 @@
     tokio::spawn(peer_server::run(listener, identity, serve, move |error| {
         let _ = report.send(error);
     }));
-    Server {
+    TestServer {
         address,
         calls,
         refused,
@@ -193,16 +193,15 @@
 
 async fn ping(client: &Client) -> Result<(), Error> {
     client
-        .call(
-            LIMIT,
-            |peer, context| async move { peer.ping(context).await },
-        )
+        .call(CALL_TIMEOUT, |peer, context| async move {
+            peer.ping(context).await
+        })
         .await
 }
 
 async fn gossip(client: &Client) -> Result<Message, Error> {
     client
-        .call(LIMIT, |peer, context| async move {
+        .call(CALL_TIMEOUT, |peer, context| async move {
             peer.gossip(context, message()).await
         })
         .await
@@ -212,8 +211,9 @@
     Client::new(identity, address, None, Options::default())
 }
 
-/// Forwards connections and, once told, swallows all bytes of those that are open.
-async fn tunnel(target: SocketAddr) -> (SocketAddr, watch::Sender<usize>) {
+/// Starts a proxy that forwards connections; after a signal, the open ones stay open but forward
+/// nothing, as on a network that drops packets.
+async fn start_proxy(target: SocketAddr) -> (SocketAddr, watch::Sender<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (cut, cuts) = watch::channel(0);
@@ -228,7 +228,7 @@
                 tokio::select! {
                     _ = tokio::io::copy_bidirectional(&mut near, &mut far) => {}
                     _ = cuts.changed() => {
-                        tokio::time::sleep(LIMIT * 2).await;
+                        tokio::time::sleep(CALL_TIMEOUT * 2).await;
                     }
                 }
             });
@@ -239,15 +239,15 @@
 
 #[tokio::test]
 async fn a_call_reaches_a_daemon_of_the_same_fleet() {
-    let server = start(identity("salt", 1, None), false).await;
+    let server = start_server(identity("salt", 1, None), false).await;
     let client = client(identity("salt", 1, None), server.address);
     assert_matches!(gossip(&client).await, Ok(answer) if answer == message());
     assert_eq!(server.calls.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
-async fn a_wrong_key_gets_no_answer() {
-    let mut server = start(identity("salt", 1, None), false).await;
+async fn a_client_without_a_shared_key_gets_no_answer() {
+    let mut server = start_server(identity("salt", 1, None), false).await;
     let client = client(identity("salt", 2, None), server.address);
     let error = ping(&client).await.unwrap_err();
     assert!(error.not_sent());
@@ -260,14 +260,14 @@
     );
     assert_matches!(
         server.refused.recv().await,
-        Some(peer_handshake::Error::Key)
+        Some(peer_handshake::Error::NoSharedKey)
     );
 }
 
 #[tokio::test]
 async fn both_keys_are_accepted_during_a_rotation() {
-    let rotated = start(identity("salt", 2, Some(1)), false).await;
-    let old = start(identity("salt", 1, None), false).await;
+    let rotated = start_server(identity("salt", 2, Some(1)), false).await;
+    let old = start_server(identity("salt", 1, None), false).await;
     for (client_identity, address) in [
         (identity("salt", 1, None), rotated.address),
         (identity("salt", 2, None), rotated.address),
@@ -280,8 +280,8 @@
 }
 
 #[tokio::test]
-async fn a_foreign_fleet_is_refused() {
-    let mut server = start(identity("salt", 1, None), false).await;
+async fn a_client_of_another_fleet_is_refused() {
+    let mut server = start_server(identity("salt", 1, None), false).await;
     let client = client(identity("pepper", 1, None), server.address);
     let expected = Refusal::Fleet {
         expected: "salt".to_owned(),
@@ -298,9 +298,10 @@
     );
 }
 
+/// Guards against calls that reach another host that took over the address.
 #[tokio::test]
 async fn another_host_at_the_address_is_refused() {
-    let server = start(identity("salt", 1, None), false).await;
+    let server = start_server(identity("salt", 1, None), false).await;
     let client = Client::new(
         identity("salt", 1, None),
         server.address,
@@ -309,21 +310,22 @@
     );
     assert_matches!(
         ping(&client).await,
-        Err(Error::Other { expected, found, .. }) if expected == "host-9" && found == "host-1"
+        Err(Error::WrongHost { expected, found, .. }) if expected == "host-9" && found == "host-1"
     );
 }
 
+/// A connection whose packets are dropped stays open; only unanswered pings show that it is dead.
 #[tokio::test]
-async fn a_silent_connection_is_replaced() {
-    let server = start(identity("salt", 1, None), false).await;
-    let (address, cut) = tunnel(server.address).await;
+async fn an_unresponsive_connection_is_replaced() {
+    let server = start_server(identity("salt", 1, None), false).await;
+    let (address, cut) = start_proxy(server.address).await;
     let options = Options::default()
-        .heartbeat(Duration::from_millis(20))
-        .silence(Duration::from_millis(100));
+        .heartbeat_interval(Duration::from_millis(20))
+        .ping_timeout(Duration::from_millis(100));
     let client = Client::new(identity("salt", 1, None), address, None, options);
     ping(&client).await.unwrap();
     cut.send(1).unwrap();
-    let broken = tokio::time::timeout(LIMIT / 2, gossip(&client))
+    let broken = tokio::time::timeout(CALL_TIMEOUT / 2, gossip(&client))
         .await
         .unwrap();
     assert_matches!(broken, Err(Error::Lost { .. }));
@@ -332,12 +334,13 @@
     assert_matches!(gossip(&client).await, Ok(answer) if answer == message());
 }
 
+/// A peer that answers pings is alive, however long a call takes.
 #[tokio::test]
-async fn a_slow_answer_is_not_taken_for_silence() {
-    let server = start(identity("salt", 1, None), true).await;
+async fn a_slow_call_does_not_make_a_connection_unresponsive() {
+    let server = start_server(identity("salt", 1, None), true).await;
     let options = Options::default()
-        .heartbeat(Duration::from_millis(10))
-        .silence(Duration::from_millis(500));
+        .heartbeat_interval(Duration::from_millis(10))
+        .ping_timeout(Duration::from_millis(500));
     let client = Client::new(identity("salt", 1, None), server.address, None, options);
     let limit = Duration::from_millis(1_500);
     let answer = client
@@ -345,13 +348,13 @@
             peer.gossip(context, message()).await
         })
         .await;
-    assert_matches!(answer, Err(Error::Deadline { .. }));
+    assert_matches!(answer, Err(Error::DeadlineExceeded { .. }));
 }
 
 #[tokio::test]
-async fn calls_in_flight_are_bounded() {
-    let server = start(identity("salt", 1, None), true).await;
-    let options = Options::default().in_flight(1);
+async fn calls_in_flight_are_limited() {
+    let server = start_server(identity("salt", 1, None), true).await;
+    let options = Options::default().max_in_flight(1);
     let client = Client::new(identity("salt", 1, None), server.address, None, options);
     let first = client.clone();
     tokio::spawn(async move { gossip(&first).await });
