--- a/crates/fakes/src/line.rs
+++ b/crates/fakes/src/connection.rs
@@ -14,22 +14,22 @@
 use tokio::net::TcpStream;
 
 /// Passes bytes until its number lies below the shared mark, then nothing for good.
-pub(crate) struct Line {
+pub(crate) struct Connection {
     /// Holds the number below which connections are silent.
-    pub(crate) mark: Arc<AtomicU64>,
+    pub(crate) silent_below: Arc<AtomicU64>,
     /// Numbers the connection.
     pub(crate) number: u64,
     /// Holds the connection.
     pub(crate) stream: TcpStream,
 }
 
-impl Line {
+impl Connection {
     fn silent(&self) -> bool {
-        self.number < self.mark.load(Ordering::Relaxed)
+        self.number < self.silent_below.load(Ordering::Relaxed)
     }
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -42,7 +42,7 @@
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for Connection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -23,12 +23,12 @@
 use crate::cache::Cache;
 use crate::engine_kv;
 use crate::engine_stream;
-use crate::fetch::fetch;
+use crate::http_client::send;
 use crate::server;
 use crate::server::Body;
-use crate::server::Cut;
+use crate::server::Disconnect;
 use crate::server::Server;
-use crate::slot::Slots;
+use crate::slots::Slots;
 use protocol::engine;
 use protocol::engine::Action;
 use protocol::engine::Code;
@@ -244,13 +244,13 @@
     }
 
     /// Returns how many connections were accepted so far.
-    pub fn opened(&self) -> u64 {
-        self.server.opened()
+    pub fn accepted_connections(&self) -> u64 {
+        self.server.accepted_connections()
     }
 
     /// Makes every open connection silent for good; new ones work.
-    pub fn silence(&self) {
-        self.server.silence();
+    pub fn stall_connections(&self) {
+        self.server.stall_connections();
     }
 
     /// Returns what the engine serves.
@@ -337,7 +337,7 @@
         tokio::spawn(async move {
             tokio::time::sleep(self.options.restart_time).await;
             let alive = server::lock(&self.server).is_some();
-            while alive && server.resume().await.is_err() {
+            while alive && server.restart().await.is_err() {
                 tokio::time::sleep(self.options.restart_time).await;
             }
         });
@@ -471,7 +471,7 @@
             return Ok(());
         };
         let path = format!("{}{model}/{version}", weight_store::WEIGHTS_PATH);
-        match fetch(store, Method::GET, path, Vec::new()).await {
+        match send(store, Method::GET, path, Vec::new()).await {
             Ok((200, _)) => Ok(()),
             _ => Err(refusal(Code::Unavailable)),
         }
@@ -507,8 +507,11 @@
     }
 }
 
-async fn respond(shared: Weak<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
-    let shared = shared.upgrade().ok_or(Cut)?;
+async fn respond(
+    shared: Weak<Shared>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Disconnect> {
+    let shared = shared.upgrade().ok_or(Disconnect)?;
     shared.thaw().await;
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or("").to_owned();
@@ -545,7 +548,7 @@
             Some(order) => match tokio::spawn(Arc::clone(&shared).order(order)).await {
                 Ok(Ok(standing)) => server::json(200, &standing),
                 Ok(Err(refusal)) => refuse(refusal),
-                Err(_) => return Err(Cut),
+                Err(_) => return Err(Disconnect),
             },
             None => refuse(refusal(Code::BadRequest)),
         },
@@ -570,8 +573,12 @@
     server::json(refusal.code.status(), &refusal)
 }
 
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Result<Option<T>, Cut> {
-    let body = request.into_body().collect().await.map_err(|_| Cut)?;
+async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Result<Option<T>, Disconnect> {
+    let body = request
+        .into_body()
+        .collect()
+        .await
+        .map_err(|_| Disconnect)?;
     Ok(serde_json::from_slice(&body.to_bytes()).ok())
 }
 
--- a/crates/fakes/src/engine_kv.rs
+++ b/crates/fakes/src/engine_kv.rs
@@ -4,7 +4,7 @@
 
 use crate::cache::Named;
 use crate::engine::Shared;
-use crate::fetch::fetch;
+use crate::http_client::send;
 use protocol::block;
 use protocol::engine::Code;
 use protocol::engine::Transfer;
@@ -25,7 +25,7 @@
         let Some(stored) = stored else { break };
         let body = serde_json::to_vec(&stored).map_err(|_| Code::BadRequest)?;
         let path = format!("{BLOCKS_PATH}{}", block::format(name));
-        match fetch(asked.store, Method::PUT, path, body).await {
+        match send(asked.store, Method::PUT, path, body).await {
             Ok((200, _)) => blocks.push(name),
             _ => return Err(Code::Unavailable),
         }
@@ -38,7 +38,7 @@
     let mut chain: Vec<Named> = Vec::new();
     for name in asked.blocks {
         let path = format!("{BLOCKS_PATH}{}", block::format(name));
-        let stored: StoredBlock = match fetch(asked.store, Method::GET, path, Vec::new()).await {
+        let stored: StoredBlock = match send(asked.store, Method::GET, path, Vec::new()).await {
             Err(_) => return Err(Code::Unavailable),
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| Code::Unavailable)?,
             Ok(_) => break,
--- a/crates/fakes/src/engine_stream.rs
+++ b/crates/fakes/src/engine_stream.rs
@@ -18,8 +18,8 @@
 use crate::engine::Shared;
 use crate::engine::answer;
 use crate::server::Body;
-use crate::server::Cut;
-use crate::slot::Permit;
+use crate::server::Disconnect;
+use crate::slots::Permit;
 use protocol::engine;
 use protocol::engine::Code;
 use protocol::engine::Finish;
@@ -113,7 +113,7 @@
         })
     }
 
-    async fn step(&mut self) -> Option<Result<Frame<Bytes>, Cut>> {
+    async fn step(&mut self) -> Option<Result<Frame<Bytes>, Disconnect>> {
         let heartbeat = self.shared.options.heartbeat;
         let text = loop {
             let mut cancelled = self.cancelled.clone();
@@ -131,7 +131,7 @@
             match step {
                 Step::Again => {}
                 Step::Cancelled => break self.finish(Finish::Cancelled),
-                Step::Cut => return Some(Err(Cut)),
+                Step::Disconnect => return Some(Err(Disconnect)),
                 Step::Done => return None,
                 Step::Heartbeat => {
                     self.shared.thaw().await;
@@ -230,7 +230,7 @@
         let mut inner = self.shared.lock();
         let faults = &mut inner.faults;
         if faults.cut_at.take_if(|at| *at == offset).is_some() {
-            return Step::Cut;
+            return Step::Disconnect;
         }
         if faults.silent_at.take_if(|at| *at == offset).is_some() {
             return Step::Silent;
@@ -299,7 +299,7 @@
     /// Means that the attempt was cancelled.
     Cancelled,
     /// Means that the connection is to be cut.
-    Cut,
+    Disconnect,
     /// Means that the body is over.
     Done,
     /// Means that nothing happened for a while.
--- a/crates/fakes/src/fetch.rs
+++ b/crates/fakes/src/http_client.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 
 /// Sends a request and returns status and body.
-pub(crate) async fn fetch(
+pub(crate) async fn send(
     address: SocketAddr,
     method: Method,
     path: String,
--- a/crates/fakes/src/kv.rs
+++ b/crates/fakes/src/kv_store.rs
@@ -16,7 +16,7 @@
 
 use crate::server;
 use crate::server::Body;
-use crate::server::Cut;
+use crate::server::Disconnect;
 use crate::server::Server;
 use crate::server::lock;
 use protocol::block;
@@ -27,12 +27,12 @@
 type Blocks = Mutex<BTreeMap<BlockHash, StoredBlock>>;
 
 /// Runs a stand-in store until it is dropped.
-pub struct Store {
+pub struct KvStore {
     blocks: Arc<Blocks>,
     server: Server,
 }
 
-impl Store {
+impl KvStore {
     /// Starts an empty store on `address`; port 0 picks a free one.
     ///
     /// # Errors
@@ -52,12 +52,12 @@
     }
 
     /// Drops a block, as a store does that runs out of room.
-    pub fn lose(&self, name: BlockHash) {
+    pub fn evict(&self, name: BlockHash) {
         lock(&self.blocks).remove(&name);
     }
 
     /// Lists the names of the blocks.
-    pub fn names(&self) -> Vec<BlockHash> {
+    pub fn block_hashes(&self) -> Vec<BlockHash> {
         lock(&self.blocks).keys().copied().collect()
     }
 
@@ -67,15 +67,22 @@
     }
 }
 
-async fn respond(blocks: Weak<Blocks>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
-    let blocks = blocks.upgrade().ok_or(Cut)?;
+async fn respond(
+    blocks: Weak<Blocks>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Disconnect> {
+    let blocks = blocks.upgrade().ok_or(Disconnect)?;
     let name = request.uri().path().strip_prefix(BLOCKS_PATH);
     let Some(name) = name.and_then(block::parse) else {
         return Ok(server::json(404, &"no such path"));
     };
     if request.method() == Method::PUT {
-        let body = request.into_body().collect().await.map_err(|_| Cut)?;
-        let stored = serde_json::from_slice(&body.to_bytes()).map_err(|_| Cut)?;
+        let body = request
+            .into_body()
+            .collect()
+            .await
+            .map_err(|_| Disconnect)?;
+        let stored = serde_json::from_slice(&body.to_bytes()).map_err(|_| Disconnect)?;
         lock(&blocks).insert(name, stored);
         return Ok(server::json(200, &()));
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -4,14 +4,14 @@
 //! switches for the faults of its kind.
 
 pub mod cache;
+mod connection;
 pub mod engine;
 mod engine_kv;
 mod engine_stream;
-mod fetch;
-pub mod kv;
-mod line;
+mod http_client;
+pub mod kv_store;
 pub mod platform;
 pub mod server;
 pub mod service;
-mod slot;
-pub mod weights;
+mod slots;
+pub mod weight_store;
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -15,7 +15,7 @@
 
 use crate::server;
 use crate::server::Body;
-use crate::server::Cut;
+use crate::server::Disconnect;
 use crate::server::Server;
 use crate::server::lock;
 use protocol::platform::Host;
@@ -59,12 +59,12 @@
     }
 
     /// Shows changes only after `lag`.
-    pub fn lag(&self, lag: Duration) {
+    pub fn set_lag(&self, lag: Duration) {
         lock(&self.shared.inner).lag = lag;
     }
 
     /// Lists a host, or takes it off the list.
-    pub fn list(&self, address: IpAddr, standing: Option<Standing>) {
+    pub fn set_host(&self, address: IpAddr, standing: Option<Standing>) {
         let mut inner = lock(&self.shared.inner);
         let now = Instant::now();
         if inner.listings.is_empty() {
@@ -85,8 +85,8 @@
     }
 }
 
-async fn respond(shared: Weak<Shared>) -> Result<Response<Body>, Cut> {
-    let shared = shared.upgrade().ok_or(Cut)?;
+async fn respond(shared: Weak<Shared>) -> Result<Response<Body>, Disconnect> {
+    let shared = shared.upgrade().ok_or(Disconnect)?;
     let mut inner = lock(&shared.inner);
     let lag = inner.lag;
     while inner.listings.len() > 1 && inner.listings[1].0.elapsed() >= lag {
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -27,25 +27,28 @@
 use tokio::task::JoinHandle;
 use tokio::task::JoinSet;
 
-use crate::line::Line;
+use crate::connection::Connection;
 
 /// Makes the server close a connection in the middle of an exchange.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the connection is cut on purpose")]
-pub struct Cut;
+pub struct Disconnect;
 
 /// Holds the body of a response, which may be cut.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, Disconnect>;
 
 /// Answers one request.
-pub type Respond =
-    Arc<dyn Fn(Request<Incoming>) -> BoxFuture<'static, Result<Response<Body>, Cut>> + Send + Sync>;
+pub type Handler = Arc<
+    dyn Fn(Request<Incoming>) -> BoxFuture<'static, Result<Response<Body>, Disconnect>>
+        + Send
+        + Sync,
+>;
 
 /// Serves one address until it is stopped or dropped.
 pub struct Server {
     address: SocketAddr,
-    opened: Arc<AtomicU64>,
-    respond: Respond,
+    accepted_connections: Arc<AtomicU64>,
+    handler: Handler,
     silent: Arc<AtomicU64>,
     task: Mutex<Option<JoinHandle<()>>>,
 }
@@ -56,12 +59,12 @@
     /// # Errors
     ///
     /// Returns the error of binding the address.
-    pub async fn start(address: SocketAddr, respond: Respond) -> io::Result<Self> {
+    pub async fn start(address: SocketAddr, handler: Handler) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let server = Self {
             address: listener.local_addr()?,
-            opened: Arc::default(),
-            respond,
+            accepted_connections: Arc::default(),
+            handler,
             silent: Arc::default(),
             task: Mutex::default(),
         };
@@ -75,8 +78,8 @@
     }
 
     /// Returns how many connections were accepted so far.
-    pub fn opened(&self) -> u64 {
-        self.opened.load(Ordering::Relaxed)
+    pub fn accepted_connections(&self) -> u64 {
+        self.accepted_connections.load(Ordering::Relaxed)
     }
 
     /// Serves the address again after [`Self::stop`].
@@ -84,16 +87,18 @@
     /// # Errors
     ///
     /// Returns the error of binding the address.
-    pub async fn resume(&self) -> io::Result<()> {
+    pub async fn restart(&self) -> io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
         self.serve(listener);
         Ok(())
     }
 
     /// Makes every open connection silent for good; new ones work.
-    pub fn silence(&self) {
-        self.silent
-            .store(self.opened.load(Ordering::Relaxed), Ordering::Relaxed);
+    pub fn stall_connections(&self) {
+        self.silent.store(
+            self.accepted_connections.load(Ordering::Relaxed),
+            Ordering::Relaxed,
+        );
     }
 
     /// Closes the listener and all connections at once.
@@ -104,10 +109,10 @@
     }
 
     fn serve(&self, listener: TcpListener) {
-        let opened = Arc::clone(&self.opened);
-        let respond = Arc::clone(&self.respond);
+        let accepted_connections = Arc::clone(&self.accepted_connections);
+        let handler = Arc::clone(&self.handler);
         let silent = Arc::clone(&self.silent);
-        let task = tokio::spawn(accept(listener, opened, silent, respond));
+        let task = tokio::spawn(accept(listener, accepted_connections, silent, handler));
         if let Some(old) = lock(&self.task).replace(task) {
             old.abort();
         }
@@ -122,9 +127,9 @@
 
 async fn accept(
     listener: TcpListener,
-    opened: Arc<AtomicU64>,
+    accepted_connections: Arc<AtomicU64>,
     silent: Arc<AtomicU64>,
-    respond: Respond,
+    handler: Handler,
 ) {
     let mut connections = JoinSet::new();
     loop {
@@ -133,15 +138,15 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let line = Line {
-            mark: Arc::clone(&silent),
-            number: opened.fetch_add(1, Ordering::Relaxed),
+        let connection = Connection {
+            silent_below: Arc::clone(&silent),
+            number: accepted_connections.fetch_add(1, Ordering::Relaxed),
             stream,
         };
-        let respond = Arc::clone(&respond);
-        let service = service_fn(move |request| respond(request));
+        let handler = Arc::clone(&handler);
+        let service = service_fn(move |request| handler(request));
         connections.spawn(async move {
-            let io = TokioIo::new(line);
+            let io = TokioIo::new(connection);
             let _ = http1::Builder::new().serve_connection(io, service).await;
         });
     }
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -18,7 +18,7 @@
 
 use crate::server;
 use crate::server::Body;
-use crate::server::Cut;
+use crate::server::Disconnect;
 use crate::server::Server;
 use crate::server::lock;
 use protocol::service;
@@ -85,7 +85,7 @@
     }
 
     /// Waits until `count` calls have arrived, whatever became of them.
-    pub async fn arrived(&self, count: u64) {
+    pub async fn wait_for_calls(&self, count: u64) {
         let mut arrived = self.shared.arrived.subscribe();
         let _ = arrived.wait_for(|a| *a >= count).await;
     }
@@ -96,7 +96,7 @@
     }
 
     /// Switches the fault.
-    pub fn fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         *lock(&self.shared.fault) = fault;
     }
 
@@ -105,8 +105,8 @@
     /// # Errors
     ///
     /// Returns the error of binding the address.
-    pub async fn resume(&self) -> io::Result<()> {
-        self.server.resume().await
+    pub async fn restart(&self) -> io::Result<()> {
+        self.server.restart().await
     }
 
     /// Returns how often each order ran.
@@ -115,8 +115,8 @@
     }
 
     /// Makes every open connection silent for good; new ones work.
-    pub fn silence(&self) {
-        self.server.silence();
+    pub fn stall_connections(&self) {
+        self.server.stall_connections();
     }
 
     /// Cuts every connection and refuses new ones.
@@ -125,12 +125,19 @@
     }
 }
 
-async fn respond(shared: Weak<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
-    let shared = shared.upgrade().ok_or(Cut)?;
+async fn respond(
+    shared: Weak<Shared>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Disconnect> {
+    let shared = shared.upgrade().ok_or(Disconnect)?;
     let order = request.headers().get(service::ORDER_ID_HEADER);
     let order = order.and_then(|o| o.to_str().ok()).unwrap_or("");
     let order = order.to_owned();
-    let body = request.into_body().collect().await.map_err(|_| Cut)?;
+    let body = request
+        .into_body()
+        .collect()
+        .await
+        .map_err(|_| Disconnect)?;
     let text = String::from_utf8_lossy(&body.to_bytes()).into_owned();
     shared.arrived.send_modify(|count| *count += 1);
     let fault = *lock(&shared.fault);
@@ -148,7 +155,7 @@
     };
     match fault {
         Fault::HangsAfter => std::future::pending().await,
-        Fault::LosesAnswer => Err(Cut),
+        Fault::LosesAnswer => Err(Disconnect),
         _ => Ok(server::json(200, &Receipt { order, runs, text })),
     }
 }
--- a/crates/fakes/src/weights.rs
+++ b/crates/fakes/src/weight_store.rs
@@ -12,22 +12,22 @@
 
 use crate::server;
 use crate::server::Body;
-use crate::server::Cut;
+use crate::server::Disconnect;
 use crate::server::Server;
 
 #[derive(Default)]
 struct Loads {
-    most: AtomicU32,
-    now: AtomicU32,
+    max_concurrent: AtomicU32,
+    current: AtomicU32,
 }
 
 /// Runs a stand-in store until it is dropped.
-pub struct Weights {
+pub struct WeightStore {
     loads: Arc<Loads>,
     server: Server,
 }
 
-impl Weights {
+impl WeightStore {
     /// Starts a store on `address` that takes `time` for each load while at most `limit` run, and
     /// longer in proportion when more do.
     ///
@@ -48,8 +48,8 @@
     }
 
     /// Returns how many loads ran at once at most.
-    pub fn most(&self) -> u32 {
-        self.loads.most.load(Ordering::SeqCst)
+    pub fn max_concurrent_loads(&self) -> u32 {
+        self.loads.max_concurrent.load(Ordering::SeqCst)
     }
 
     /// Cuts every connection and refuses new ones.
@@ -58,11 +58,11 @@
     }
 }
 
-async fn load(loads: Arc<Loads>, time: Duration, limit: u32) -> Result<Response<Body>, Cut> {
-    let running = loads.now.fetch_add(1, Ordering::SeqCst) + 1;
-    loads.most.fetch_max(running, Ordering::SeqCst);
+async fn load(loads: Arc<Loads>, time: Duration, limit: u32) -> Result<Response<Body>, Disconnect> {
+    let running = loads.current.fetch_add(1, Ordering::SeqCst) + 1;
+    loads.max_concurrent.fetch_max(running, Ordering::SeqCst);
     let slowed = time * running.max(limit) / limit.max(1);
     tokio::time::sleep(slowed).await;
-    loads.now.fetch_sub(1, Ordering::SeqCst);
+    loads.current.fetch_sub(1, Ordering::SeqCst);
     Ok(server::json(200, &"weights"))
 }
--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -343,7 +343,7 @@
     let request = request("w", PROMPT);
     let mut stream = client.complete(&request, None).await.unwrap();
     stream.next().await.unwrap();
-    engine.silence();
+    engine.stall_connections();
     let error = loop {
         match stream.next().await {
             Ok(_) => {}
@@ -406,7 +406,7 @@
     ];
     for case in cases {
         let service = Service::start(([127, 0, 0, 1], 0).into()).await.unwrap();
-        service.fault(case.fault);
+        service.set_fault(case.fault);
         let hasty = Limits {
             head_timeout: Duration::from_millis(100),
             ..limits()
--- a/crates/fakes/tests/stores.rs
+++ b/crates/fakes/tests/stores.rs
@@ -11,16 +11,16 @@
 use common::request;
 use tokio::time::Duration;
 
-use fakes::kv::Store;
+use fakes::kv_store::KvStore;
 use fakes::platform::Platform;
-use fakes::weights::Weights;
+use fakes::weight_store::WeightStore;
 use protocol::engine;
 use protocol::engine::Code;
 use protocol::platform;
 
 #[tokio::test]
 async fn blocks_move_through_the_store_to_an_engine_of_the_same_weights() {
-    let store = Store::start(([127, 0, 0, 1], 0).into()).await.unwrap();
+    let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let (_first, source) = engine(|_| {}).await;
     let (second, target) = engine(|_| {}).await;
     let request = request("w", PROMPT);
@@ -41,7 +41,7 @@
 
 #[tokio::test]
 async fn each_store_fault_leaves_the_engine_with_what_it_had() {
-    let store = Store::start(([127, 0, 0, 1], 0).into()).await.unwrap();
+    let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let (_first, source) = engine(|_| {}).await;
     let request = request("w", PROMPT);
     read(&source, &request).await;
@@ -54,7 +54,7 @@
     source.export(&transfer).await.unwrap();
     let (_other, other) = engine(|o| o.version = "v2".to_owned()).await;
     assert_eq!(code(other.import(&transfer).await), Code::VersionMismatch);
-    store.lose(blocks[1]);
+    store.evict(blocks[1]);
     let (_second, target) = engine(|_| {}).await;
     let moved = target.import(&transfer).await.unwrap();
     assert_eq!(moved.blocks, blocks[..1]);
@@ -71,7 +71,7 @@
 
 #[tokio::test]
 async fn a_foreign_workspace_gains_nothing_from_an_imported_block() {
-    let store = Store::start(([127, 0, 0, 1], 0).into()).await.unwrap();
+    let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let (engine, client) = engine(|_| {}).await;
     let own = request("w", PROMPT);
     read(&client, &own).await;
@@ -91,13 +91,13 @@
 #[tokio::test]
 async fn a_failed_load_leaves_the_old_weights_in_service() {
     let time = Duration::from_millis(20);
-    let weights = Weights::start(([127, 0, 0, 1], 0).into(), time, 2)
+    let weights = WeightStore::start(([127, 0, 0, 1], 0).into(), time, 2)
         .await
         .unwrap();
     let address = weights.address();
     let (_engine, client) = engine(|o| o.weight_store = Some(address)).await;
     assert_eq!(client.order(&load(1, "v2")).await.unwrap().version, "v2");
-    assert_eq!(weights.most(), 1);
+    assert_eq!(weights.max_concurrent_loads(), 1);
     weights.stop();
     while tokio::net::TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -112,16 +112,16 @@
     let platform = Platform::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let host = [127, 0, 0, 9].into();
     let hosts = || transport::platform::fetch_hosts(platform.address(), limits());
-    platform.list(host, Some(platform::Standing::Live));
+    platform.set_host(host, Some(platform::Standing::Live));
     assert_eq!(hosts().await.unwrap().edition, 1);
-    platform.lag(Duration::from_secs(60));
-    platform.list(host, Some(platform::Standing::Leaving));
+    platform.set_lag(Duration::from_secs(60));
+    platform.set_host(host, Some(platform::Standing::Leaving));
     let late = hosts().await.unwrap();
     assert_eq!(
         (late.edition, late.standing(host)),
         (1, Some(platform::Standing::Live))
     );
-    platform.lag(Duration::ZERO);
+    platform.set_lag(Duration::ZERO);
     let now = hosts().await.unwrap();
     assert_eq!(
         (now.edition, now.standing(host)),
--- a/crates/hibiscushoistd/tests/imports.rs
+++ b/crates/hibiscushoistd/tests/imports.rs
@@ -9,7 +9,7 @@
 use coordination::grant::Import;
 use fakes::engine::Engine;
 use fakes::engine::Options;
-use fakes::kv::Store;
+use fakes::kv_store::KvStore;
 use hibiscushoistd::import;
 use protocol::engine;
 use state::column::Column;
@@ -28,7 +28,7 @@
 struct Bench {
     ask: PlacementRequest,
     source: Engine,
-    store: Store,
+    store: KvStore,
     table: Table,
     target: Engine,
 }
@@ -59,7 +59,7 @@
         };
         let source = Engine::start(options.clone()).await.unwrap();
         let target = Engine::start(options).await.unwrap();
-        let store = Store::start(([127, 0, 0, 1], 0).into()).await.unwrap();
+        let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
         let mut table = Table::default();
         add(&mut table, "s", "engine", source.address());
         add(&mut table, "k", "kv_store", store.address());
--- a/crates/hibiscushoistd/tests/leaving.rs
+++ b/crates/hibiscushoistd/tests/leaving.rs
@@ -27,10 +27,10 @@
 
 async fn bench() -> (Bench, Platform) {
     let platform = Platform::start(([127, 0, 0, 1], 0).into()).await.unwrap();
-    platform.lag(Duration::from_millis(300));
+    platform.set_lag(Duration::from_millis(300));
     let mut test = Test::new().platform(platform.address());
     for last in [1, 2] {
-        platform.list(host(last), Some(Standing::Live));
+        platform.set_host(host(last), Some(Standing::Live));
         test = test.engine(Options {
             address: (host(last), 0).into(),
             ..Options::default()
@@ -70,7 +70,7 @@
         while bench.engines[0].counts().started == 0 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        platform.list(host(1), Some(Standing::Leaving));
+        platform.set_host(host(1), Some(Standing::Leaving));
         until_unused(&bench, 20).await;
     };
     let both = async { tokio::join!(futures::future::join_all(streams), leave) };
@@ -81,7 +81,7 @@
         let whole = bench.engines[0].text(&format!("cove {number}"), 0, TOKENS);
         assert_eq!(response.streamed(), (whole, true));
     }
-    platform.list(host(1), Some(Standing::Live));
+    platform.set_host(host(1), Some(Standing::Live));
     let used = bench.engines[0].counts().started;
     let back = async {
         while bench.engines[0].counts().started == used {
@@ -103,7 +103,7 @@
         "type": "service",
     });
     bench.add("upstreams", "s1", cells).await;
-    platform.list(host(3), Some(Standing::Leaving));
+    platform.set_host(host(3), Some(Standing::Leaving));
     let refused = async {
         loop {
             let response = bench.get("/v1/services/booking/free", MAPS_KEY).await;
--- a/crates/hibiscushoistd/tests/orders.rs
+++ b/crates/hibiscushoistd/tests/orders.rs
@@ -138,10 +138,10 @@
     ];
     for case in cases {
         let (bench, service) = bench().await;
-        service.fault(case.fault);
+        service.set_fault(case.fault);
         let first = order(&bench, "k", "reef").await;
         assert_eq!(error(&first), (case.first.0.into(), case.first.1.into()));
-        service.fault(Fault::None);
+        service.set_fault(Fault::None);
         let again = order(&bench, "k", "reef").await;
         match again.status {
             200 => assert_eq!(case.again.0, "done"),
@@ -163,7 +163,7 @@
     }
     let refused = order(&bench, "k", "reef").await;
     assert_eq!(error(&refused), ("no_upstream".into(), "true".into()));
-    service.resume().await.unwrap();
+    service.restart().await.unwrap();
     let again = order(&bench, "k", "reef").await;
     assert_eq!(again.status, 200, "{:?}", again.body);
     assert_eq!(runs(&service), 1);
@@ -172,10 +172,10 @@
 #[tokio::test]
 async fn an_order_whose_caller_left_runs_on_and_its_answer_is_kept() {
     let (bench, service) = bench().await;
-    service.fault(Fault::HangsBefore);
+    service.set_fault(Fault::HangsBefore);
     tokio::select! {
         _ = order(&bench, "k", "reef") => panic!("the service hangs"),
-        () = service.arrived(1) => {}
+        () = service.wait_for_calls(1) => {}
     }
     let again = order(&bench, "k", "reef").await;
     let (reason, not_run) = error(&again);
@@ -199,11 +199,11 @@
 #[tokio::test]
 async fn a_call_that_only_reads_is_made_again() {
     let (bench, service) = bench().await;
-    service.fault(Fault::LosesAnswer);
+    service.set_fault(Fault::LosesAnswer);
     let get = bench.get("/v1/services/booking/free", MAPS_KEY);
     let mend = async {
-        service.arrived(2).await;
-        service.fault(Fault::None);
+        service.wait_for_calls(2).await;
+        service.set_fault(Fault::None);
     };
     let (response, ()) = tokio::join!(get, mend);
     assert_eq!(response.status, 200, "{:?}", response.body);
--- a/crates/hibiscushoistd/tests/restart.rs
+++ b/crates/hibiscushoistd/tests/restart.rs
@@ -412,7 +412,7 @@
         fleet.wait(host, "/admin/table", newest).await;
     }
     for round in 0..ORDERS {
-        service.fault(match round % 3 {
+        service.set_fault(match round % 3 {
             0 => Fault::LosesAnswer,
             _ => Fault::None,
         });
@@ -428,7 +428,7 @@
         fleet.launch(victim);
         fleet.leader().await;
     }
-    service.fault(Fault::None);
+    service.set_fault(Fault::None);
     let mut unknown = 0;
     let end = Instant::now() + LIMIT;
     for round in 0..ORDERS {
--- a/crates/hibiscushoistd/tests/soak/run.rs
+++ b/crates/hibiscushoistd/tests/soak/run.rs
@@ -213,9 +213,9 @@
             }
             Action::Reset(target) => self.link(target).reset(),
             Action::Service(fault) => {
-                self.service.fault(fault);
+                self.service.set_fault(fault);
                 lasts.await;
-                self.service.fault(Fault::None);
+                self.service.set_fault(Fault::None);
             }
             Action::Silence(target) => self.link(target).silence(),
             Action::Stop(place) => {
--- a/crates/hibiscushoistd/tests/streams.rs
+++ b/crates/hibiscushoistd/tests/streams.rs
@@ -209,7 +209,7 @@
     let bench = Test::new().engine(slow).start().await;
     let mut response = bench.open(PATH, MAPS_KEY, &[], &ask()).await;
     let first = response.body_mut().frame().await.unwrap().unwrap();
-    bench.engines[0].silence();
+    bench.engines[0].stall_connections();
     let rest = timeout(OUTER_LIMIT, support::whole(response)).await;
     let rest = rest.expect("the answer ends");
     let mut body = first.into_data().unwrap().to_vec();
