--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -360,7 +360,7 @@
         body: "two rolls of hooks".into(),
         content_type: "text/plain".to_owned(),
         method: "POST".to_owned(),
-        order: order.to_owned(),
+        order_id: order.to_owned(),
         path: "/orders?dry=0".to_owned(),
     }
 }
--- a/crates/hibiscushoistd/src/service.rs
+++ b/crates/hibiscushoistd/src/service.rs
@@ -124,7 +124,7 @@
             body,
             content_type,
             method: request.method.to_string(),
-            order: order.unwrap_or_else(|| request.id.clone()),
+            order_id: order.unwrap_or_else(|| request.id.clone()),
             path,
         },
         deadline,
--- a/crates/transport/src/connection_pool.rs
+++ b/crates/transport/src/connection_pool.rs
@@ -1,4 +1,6 @@
-//! Kept connections to the upstreams of routed services, one request at a time on each.
+//! A pool of HTTP/1.1 connections to the upstreams of routed services.
+//!
+//! A connection carries one request at a time.
 
 use std::collections::HashMap;
 use std::io;
@@ -23,94 +25,102 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bounds the kept connections to one upstream.
-const KEPT: usize = 64;
-/// Bounds the time for which sent bytes may stay unacknowledged, in milliseconds, before the
-/// connection is given up; a path that lost packets recovers well within it.
-const UNACKNOWLEDGED_MS: u32 = 3_000;
+/// Idle connections that are kept for one upstream.
+const MAX_IDLE_PER_UPSTREAM: usize = 64;
+/// Time for which sent bytes may stay unacknowledged before the kernel closes the connection.
+///
+/// A path that lost packets recovers well within this time.
+const TCP_USER_TIMEOUT_MS: u32 = 3_000;
 
-/// Carries the body of a request.
+/// Body of a request, held in memory as a whole.
 pub type Body = Full<Bytes>;
 
-/// Tells why a request got no answer.
+/// The reason why a request got no complete answer.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Reports that no connection was made; no byte of the request left.
-    #[error("upstream {address} took no connection: {source}")]
+    /// No connection was made, so no byte of the request was sent.
+    #[error("cannot connect to upstream {address}: {source}")]
     Connect {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the cause.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// Reports a connection that ended after the request may have left.
-    #[error("upstream {address} cut the connection: {source}")]
+    /// The connection failed after the request may have been sent.
+    #[error("connection to upstream {address} failed: {source}")]
     Disconnected {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the cause.
+        /// Cause of the failure.
         source: hyper::Error,
     },
-    /// Reports an answer that did not end in time.
+    /// The answer was not complete in time.
     #[error("upstream {address} did not answer within {limit:?}")]
     Timeout {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the bound.
+        /// Time limit that was exceeded.
         limit: Duration,
     },
 }
 
 impl Error {
-    /// Returns whether no byte of the request left.
+    /// Returns whether no byte of the request was sent, so that it may be sent again safely.
     pub fn not_sent(&self) -> bool {
         matches!(self, Self::Connect { .. })
     }
 }
 
-struct Idle {
+/// A connection that waits in the pool for the next request.
+struct IdleConnection {
     sender: SendRequest<Body>,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
-impl Idle {
-    /// Returns whether the connection may carry a request that allows it to have been idle for
+impl IdleConnection {
+    /// Returns whether the connection is open, has not expired and has been idle for at most
     /// `limit`.
     fn is_usable(&self, now: Instant, limit: Duration) -> bool {
-        let young = self.until > now && now.duration_since(self.since) <= limit;
-        young && !self.sender.is_closed()
+        let is_fresh = self.expires_at > now && now.duration_since(self.idle_since) <= limit;
+        is_fresh && !self.sender.is_closed()
     }
 }
 
-/// Keeps connections for the next request.
+/// A shared pool of idle connections, by the address of the upstream.
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
-    idle: Arc<Mutex<HashMap<SocketAddr, Vec<Idle>>>>,
+    idle: Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>,
 }
 
-/// Holds the connection on which an answer arrives.
+/// A connection in use, which goes back to the pool with [`PooledConnection::release`].
+///
+/// Dropping it closes the connection.
 pub struct PooledConnection {
     address: SocketAddr,
     pool: ConnectionPool,
     sender: SendRequest<Body>,
 }
 
-/// Bounds an exchange.
+/// Limits on the connection that carries a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bounds the time to connect.
+    /// Time limit for connecting.
     pub connect_timeout: Duration,
-    /// Bounds the time for which a connection that is used may have been idle.
+    /// Longest time for which a reused connection may have been idle.
     pub max_idle: Duration,
 }
 
 impl ConnectionPool {
     /// Sends a request to `address` and returns the head of the answer with its connection.
     ///
+    /// Reuses an idle connection where there is one. A request that was not sent because such a
+    /// connection had closed is sent over the next connection.
+    ///
     /// # Errors
     ///
-    /// Returns an error that tells whether the request may have left.
+    /// Returns an error where no answer arrives; [`Error::not_sent`] says whether the request may
+    /// have been sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -136,11 +146,12 @@
         }
     }
 
-    /// Sends a request, reads the whole answer and keeps the connection.
+    /// Sends a request, reads the whole answer and returns the connection to the pool.
     ///
     /// # Errors
     ///
-    /// Returns an error that tells whether the request may have left.
+    /// Returns an error where no answer arrives; [`Error::not_sent`] says whether the request may
+    /// have been sent.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -156,26 +167,27 @@
             connection.release(limits.max_idle).await;
             Ok(Response::from_parts(head, body.to_bytes()))
         };
-        let done = timeout(limit, exchange).await;
-        done.unwrap_or(Err(Error::Timeout { address, limit }))
+        let result = timeout(limit, exchange).await;
+        result.unwrap_or(Err(Error::Timeout { address, limit }))
     }
 
-    /// Closes the kept connections to upstreams that are not at one of `addresses`.
+    /// Closes the idle connections to all addresses except `addresses`.
     pub fn retain(&self, addresses: &[SocketAddr]) {
         let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         all.retain(|address, _| addresses.contains(address));
         let now = Instant::now();
         for kept in all.values_mut() {
-            kept.retain(|idle| idle.until > now && !idle.sender.is_closed());
+            kept.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
         }
     }
 
-    /// Lists the addresses to which connections are kept that a request within `limits` may use.
+    /// Returns the addresses with an idle connection that a request with `limits` may use.
     pub fn idle_addresses(&self, limits: Limits) -> Vec<SocketAddr> {
         let now = Instant::now();
         let all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let usable =
-            |kept: &Vec<Idle>| kept.iter().any(|idle| idle.is_usable(now, limits.max_idle));
+        let usable = |kept: &Vec<IdleConnection>| {
+            kept.iter().any(|idle| idle.is_usable(now, limits.max_idle))
+        };
         let open = all.iter().filter(|(_, kept)| usable(kept));
         open.map(|(address, _)| *address).collect()
     }
@@ -202,16 +214,18 @@
 }
 
 impl PooledConnection {
-    /// Keeps the connection for another request, at most for `idle`, once the answer has ended.
-    pub async fn release(mut self, idle: Duration) {
+    /// Returns the connection to the pool for at most `max_idle` once the answer has ended.
+    ///
+    /// Closes it instead if it has failed or the pool is full for this upstream.
+    pub async fn release(mut self, max_idle: Duration) {
         if self.sender.ready().await.is_err() {
             return;
         }
         let now = Instant::now();
-        let connection = Idle {
+        let connection = IdleConnection {
             sender: self.sender,
-            since: now,
-            until: now + idle,
+            idle_since: now,
+            expires_at: now + max_idle,
         };
         let mut all = self
             .pool
@@ -219,7 +233,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let kept = all.entry(self.address).or_default();
-        if kept.len() < KEPT {
+        if kept.len() < MAX_IDLE_PER_UPSTREAM {
             kept.push(connection);
         }
     }
@@ -228,13 +242,15 @@
 async fn connect(address: SocketAddr, limit: Duration) -> Result<SendRequest<Body>, Error> {
     let failed = |source| Error::Connect { address, source };
     let connected = timeout(limit, TcpStream::connect(address)).await;
-    let late = || io::Error::from(io::ErrorKind::TimedOut);
-    let stream = connected.unwrap_or_else(|_| Err(late())).map_err(failed)?;
+    let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
+    let stream = connected
+        .unwrap_or_else(|_| Err(timed_out()))
+        .map_err(failed)?;
     stream.set_nodelay(true).map_err(failed)?;
-    sockopt::set_tcp_user_timeout(&stream, UNACKNOWLEDGED_MS)
+    sockopt::set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS)
         .map_err(|errno| failed(errno.into()))?;
-    let opened = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = opened.map_err(|error| failed(io::Error::other(error)))?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = handshake.map_err(|error| failed(io::Error::other(error)))?;
     tokio::spawn(connection);
     Ok(sender)
 }
--- a/crates/transport/src/engine.rs
+++ b/crates/transport/src/engine.rs
@@ -1,4 +1,6 @@
-//! Speaks the contract of a model engine; the only module that does.
+//! A client of model engines over the engine contract.
+//!
+//! No other module of this crate sends or parses messages of that contract.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,60 +26,60 @@
 use protocol::engine;
 use state::ident::Incarnation;
 
-/// Bounds one event of a stream, in bytes.
-const EVENT_LIMIT: usize = 1 << 20;
+/// Longest event that is accepted in the stream of an answer, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Reaches one engine.
+/// A client of one engine that opens a connection for each request.
 #[derive(Clone, Copy, Debug)]
 pub struct Client {
     address: SocketAddr,
     limits: Limits,
 }
 
-/// Asks one engine again and again over one connection, which is replaced when it fails.
+/// A client that polls one engine over a kept connection, which is replaced after a failure.
 #[derive(Debug)]
 pub struct Session {
     client: Client,
     connection: Option<Connection>,
 }
 
-/// Holds what a stream tells.
+/// One item of the stream of an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Item {
-    /// Holds the end mark.
+    /// The marker of a complete answer.
     End,
-    /// Shows that the engine lives.
+    /// A comment without data, sent to show that the engine is alive.
     Heartbeat,
-    /// Holds tokens.
+    /// The next tokens of the answer.
     Piece(engine::Piece),
 }
 
-/// Holds an answer with the signature of the engine that gave it.
+/// An answer with the identity of the engine that sent it.
 #[derive(Clone, Debug)]
 pub struct Identified<T> {
-    /// Holds the answer.
+    /// Decoded body of the response.
     pub answer: T,
-    /// Names the run and the weights.
+    /// Process and weights version of the engine.
     pub identity: EngineIdentity,
 }
 
-/// Reads the pieces of one answer; dropping it closes the connection and so cancels the answer.
+/// The stream of one answer; dropping it closes the connection, which cancels the answer.
 #[derive(Debug)]
 pub struct Stream {
     body: Incoming,
     connection: Connection,
     decoder: Decoder,
-    ready: VecDeque<Item>,
+    decoded: VecDeque<Item>,
     identity: EngineIdentity,
 }
 
 impl Client {
-    /// Returns a client for the engine at `address`.
+    /// Returns a client of the engine at `address`, which does not connect yet.
     pub fn new(address: SocketAddr, limits: Limits) -> Self {
         Self { address, limits }
     }
 
-    /// Stops the attempt of that name.
+    /// Cancels the attempt with this id.
     ///
     /// # Errors
     ///
@@ -90,21 +92,21 @@
         self.post(engine::CANCEL_PATH, &cancel).await
     }
 
-    /// Starts an answer, where `planned` names the run and the weights it must come from.
+    /// Starts an answer, which must come from the engine identity `planned` where one is given.
     ///
     /// # Errors
     ///
-    /// Returns the error of the exchange, or a mismatch before any piece is read.
+    /// Returns the error of the exchange, or [`Error::Mismatch`] before any token is read.
     pub async fn complete(
         &self,
         request: &engine::Request,
         planned: Option<&EngineIdentity>,
     ) -> Result<Stream, Error> {
-        let request = self.request(Method::POST, engine::COMPLETIONS_PATH, Some(request))?;
+        let request = self.build_request(Method::POST, engine::COMPLETIONS_PATH, Some(request))?;
         let mut connection = Connection::open(self.address, self.limits).await?;
         let response = connection.send(request).await?;
         if !response.status().is_success() {
-            return Err(self.refusal(&connection, response).await);
+            return Err(self.read_refusal(&connection, response).await);
         }
         let identity = self.identity(response.headers())?;
         if let Some(expected) = planned.filter(|p| **p != identity) {
@@ -117,13 +119,13 @@
         Ok(Stream {
             body: response.into_body(),
             connection,
-            decoder: Decoder::new(EVENT_LIMIT),
-            ready: VecDeque::new(),
+            decoder: Decoder::new(MAX_EVENT_BYTES),
+            decoded: VecDeque::new(),
             identity,
         })
     }
 
-    /// Reads the changes of the cache after number `after`.
+    /// Returns the changes of the cache with numbers above `after`.
     ///
     /// # Errors
     ///
@@ -133,7 +135,7 @@
         Ok(self.get(&path).await?.answer)
     }
 
-    /// Has blocks written to the kept-KV store.
+    /// Lets the engine write blocks of its cache to the KV store.
     ///
     /// # Errors
     ///
@@ -142,7 +144,7 @@
         Ok(self.post(engine::KV_EXPORT_PATH, transfer).await?.answer)
     }
 
-    /// Has blocks read from the kept-KV store.
+    /// Lets the engine load blocks from the KV store into its cache.
     ///
     /// # Errors
     ///
@@ -151,7 +153,7 @@
         Ok(self.post(engine::KV_IMPORT_PATH, transfer).await?.answer)
     }
 
-    /// Reads the report of the load.
+    /// Returns the load that the engine reports.
     ///
     /// # Errors
     ///
@@ -160,7 +162,7 @@
         Ok(self.get(engine::LOAD_PATH).await?.answer)
     }
 
-    /// Gives an order and waits until it is carried out.
+    /// Sends an order and waits until the engine has carried it out.
     ///
     /// # Errors
     ///
@@ -169,7 +171,7 @@
         Ok(self.post(engine::ORDERS_PATH, order).await?.answer)
     }
 
-    /// Reads the whole cache.
+    /// Returns the contents of the whole cache.
     ///
     /// # Errors
     ///
@@ -178,7 +180,7 @@
         Ok(self.get(engine::CACHE_SNAPSHOT_PATH).await?.answer)
     }
 
-    /// Reads what the engine serves.
+    /// Returns the state of the engine: what it serves at present.
     ///
     /// # Errors
     ///
@@ -188,7 +190,7 @@
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<Identified<T>, Error> {
-        let request = self.request(Method::GET, path, None::<&()>)?;
+        let request = self.build_request(Method::GET, path, None::<&()>)?;
         self.exchange(request).await
     }
 
@@ -197,7 +199,7 @@
         path: &str,
         message: &impl Serialize,
     ) -> Result<Identified<T>, Error> {
-        let request = self.request(Method::POST, path, Some(message))?;
+        let request = self.build_request(Method::POST, path, Some(message))?;
         self.exchange(request).await
     }
 
@@ -216,22 +218,23 @@
     ) -> Result<Identified<T>, Error> {
         let response = connection.send(request).await?;
         if !response.status().is_success() {
-            return Err(self.refusal(connection, response).await);
+            return Err(self.read_refusal(connection, response).await);
         }
         let identity = self.identity(response.headers())?;
         let bytes = connection.read_body(response.into_body()).await?;
-        let answer = serde_json::from_slice(&bytes).map_err(|e| self.format(e))?;
+        let answer = serde_json::from_slice(&bytes).map_err(|e| self.format_error(e))?;
         Ok(Identified { answer, identity })
     }
 
-    fn format(&self, source: impl Into<FormatError>) -> Error {
+    fn format_error(&self, source: impl Into<FormatError>) -> Error {
         Error::Format {
             address: self.address,
             source: source.into(),
         }
     }
 
-    async fn refusal(&self, connection: &Connection, response: Response<Incoming>) -> Error {
+    /// Turns an unsuccessful response into an error, with the refusal in its body if there is one.
+    async fn read_refusal(&self, connection: &Connection, response: Response<Incoming>) -> Error {
         let status = response.status().as_u16();
         let address = self.address;
         let body = match connection.read_body(response.into_body()).await {
@@ -244,36 +247,37 @@
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
         method: Method,
         path: &str,
         message: Option<&impl Serialize>,
     ) -> Result<Request<Full<Bytes>>, Error> {
         let body = message.map_or(Ok(Vec::new()), serde_json::to_vec);
-        let body = Full::new(Bytes::from(body.map_err(|e| self.format(e))?));
+        let body = Full::new(Bytes::from(body.map_err(|e| self.format_error(e))?));
         let request = Request::builder().method(method).uri(path);
         let request = request.header(CONTENT_TYPE, "application/json");
-        request.body(body).map_err(|e| self.format(e))
+        request.body(body).map_err(|e| self.format_error(e))
     }
 
     fn identity(&self, headers: &HeaderMap) -> Result<EngineIdentity, Error> {
         let text = |name| {
             let value = headers.get(name).and_then(|v| v.to_str().ok());
-            value.ok_or_else(|| self.format(FormatError::Header { name }))
+            value.ok_or_else(|| self.format_error(FormatError::Header { name }))
         };
         let name = engine::INCARNATION_HEADER;
-        let number = text(name)?.parse();
-        let number = number.map_err(|_| self.format(FormatError::Header { name }))?;
+        let incarnation = text(name)?.parse();
+        let incarnation =
+            incarnation.map_err(|_| self.format_error(FormatError::Header { name }))?;
         Ok(EngineIdentity {
-            incarnation: Incarnation(number),
+            incarnation: Incarnation(incarnation),
             version: text(engine::WEIGHTS_VERSION_HEADER)?.to_owned(),
         })
     }
 }
 
 impl Session {
-    /// Returns a session that connects when it is first used.
+    /// Returns a session that connects at its first request.
     pub fn new(client: Client) -> Self {
         Self {
             client,
@@ -281,7 +285,7 @@
         }
     }
 
-    /// Reads the changes of the cache after number `after`.
+    /// Returns the changes of the cache with numbers above `after`.
     ///
     /// # Errors
     ///
@@ -291,7 +295,7 @@
             .await
     }
 
-    /// Reads the report of the load.
+    /// Returns the load that the engine reports.
     ///
     /// # Errors
     ///
@@ -300,7 +304,7 @@
         self.get(engine::LOAD_PATH).await
     }
 
-    /// Reads the whole cache.
+    /// Returns the contents of the whole cache.
     ///
     /// # Errors
     ///
@@ -311,7 +315,7 @@
 
     async fn get<T: DeserializeOwned>(&mut self, path: &str) -> Result<T, Error> {
         let client = self.client;
-        let request = client.request(Method::GET, path, None::<&()>)?;
+        let request = client.build_request(Method::GET, path, None::<&()>)?;
         let mut connection = match self.connection.take() {
             None => Connection::open(client.address, client.limits).await?,
             Some(connection) => connection,
@@ -323,44 +327,45 @@
 }
 
 impl Stream {
-    /// Returns the next item, or `None` where the body is over.
+    /// Returns the next item, or `None` at the end of the body.
     ///
     /// # Errors
     ///
-    /// Returns an error when the stream is cut, falls silent or is not in the format.
+    /// Returns an error when the connection fails, nothing arrives in time or the stream is
+    /// malformed.
     pub async fn next(&mut self) -> Result<Option<Item>, Error> {
         loop {
-            if let Some(item) = self.ready.pop_front() {
+            if let Some(item) = self.decoded.pop_front() {
                 return Ok(Some(item));
             }
             let Some(bytes) = self.connection.next_chunk(&mut self.body).await? else {
                 return Ok(None);
             };
-            self.read(&bytes)?;
+            self.decode(&bytes)?;
         }
     }
 
-    /// Returns the run and the weights that the answer comes from.
+    /// Returns the process and the weights version that the answer comes from.
     pub fn identity(&self) -> &EngineIdentity {
         &self.identity
     }
 
-    fn read(&mut self, bytes: &[u8]) -> Result<(), Error> {
+    fn decode(&mut self, bytes: &[u8]) -> Result<(), Error> {
         let address = self.connection.address();
-        let format = |source| Error::Format { address, source };
+        let format_error = |source| Error::Format { address, source };
         let mut items = Vec::new();
-        let read = self.decoder.push(bytes, &mut items);
-        read.map_err(|e| format(e.into()))?;
+        let result = self.decoder.push(bytes, &mut items);
+        result.map_err(|e| format_error(e.into()))?;
         for item in items {
             let item = match item {
                 sse::Item::Comment => Item::Heartbeat,
                 sse::Item::Data(text) if text == engine::DONE_MARKER => Item::End,
                 sse::Item::Data(text) => {
                     let piece = serde_json::from_str(&text);
-                    Item::Piece(piece.map_err(|e| format(e.into()))?)
+                    Item::Piece(piece.map_err(|e| format_error(e.into()))?)
                 }
             };
-            self.ready.push_back(item);
+            self.decoded.push_back(item);
         }
         Ok(())
     }
--- a/crates/transport/src/platform.rs
+++ b/crates/transport/src/platform.rs
@@ -1,4 +1,6 @@
-//! Speaks the contract of the platform's list; the only module that does.
+//! A client of the platform's list of upstream hosts.
+//!
+//! No other module of this crate sends or parses messages of that contract.
 
 use std::net::SocketAddr;
 
@@ -13,15 +15,15 @@
 use protocol::platform::HOSTS_PATH;
 use protocol::platform::HostList;
 
-/// Reads the list at `address`.
+/// Fetches the list of hosts from the platform at `address`.
 ///
 /// # Errors
 ///
 /// Returns the error of the exchange.
 pub async fn fetch_hosts(address: SocketAddr, limits: Limits) -> Result<HostList, Error> {
-    let format = |source: FormatError| Error::Format { address, source };
+    let format_error = |source: FormatError| Error::Format { address, source };
     let request = Request::get(HOSTS_PATH).body(Full::<Bytes>::default());
-    let request = request.map_err(|e| format(e.into()))?;
+    let request = request.map_err(|e| format_error(e.into()))?;
     let mut connection = Connection::open(address, limits).await?;
     let response = connection.send(request).await?;
     let status = response.status().as_u16();
@@ -29,5 +31,5 @@
         return Err(Error::Status { address, status });
     }
     let bytes = connection.read_body(response.into_body()).await?;
-    serde_json::from_slice(&bytes).map_err(|e| format(e.into()))
+    serde_json::from_slice(&bytes).map_err(|e| format_error(e.into()))
 }
--- a/crates/transport/src/service.rs
+++ b/crates/transport/src/service.rs
@@ -1,4 +1,6 @@
-//! Speaks the contract of a plain service; the only module that does.
+//! A client of plain services over the service contract.
+//!
+//! No other module of this crate sends or parses messages of that contract.
 
 use std::net::SocketAddr;
 
@@ -13,37 +15,37 @@
 use crate::upstream::Limits;
 use protocol::service;
 
-/// Describes one call.
+/// One attempt to call a plain service.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Numbers the attempt.
+    /// Fencing token of the attempt, sent in a header.
     pub attempt: u64,
-    /// Holds the body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Holds the type of the body.
+    /// Content type of the body.
     pub content_type: String,
-    /// Holds the method.
+    /// HTTP method.
     pub method: String,
-    /// Names the order.
-    pub order: String,
-    /// Holds the path and the query.
+    /// Id under which the ledger records the order, the same in each attempt.
+    pub order_id: String,
+    /// Path and query of the URI.
     pub path: String,
 }
 
-/// Holds the answer of a service.
+/// The answer of a service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// Holds the body.
+    /// Body of the response.
     pub body: Bytes,
-    /// Holds the type of the body.
+    /// Content type of the body, empty where the header is missing.
     pub content_type: String,
-    /// Tells whether the service said that the call had no effect.
+    /// Whether the service states that the call had no effect.
     pub not_run: bool,
-    /// Holds the status.
+    /// HTTP status code.
     pub status: u16,
 }
 
-/// Holds a connection over which no byte of the call has left yet.
+/// A call with an open connection, of which no byte has been sent yet.
 #[derive(Debug)]
 pub struct PreparedCall {
     connection: Connection,
@@ -55,15 +57,15 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no connection is made in time or the call can't be written; no byte
-    /// left in either case.
+    /// Returns an error when no connection is made in time or the call cannot be encoded. No byte
+    /// was sent in either case.
     pub async fn open(address: SocketAddr, call: Call, limits: Limits) -> Result<Self, Error> {
         let request = Request::builder()
             .method(call.method.as_str())
             .uri(call.path)
             .header(CONTENT_TYPE, call.content_type)
             .header(service::ATTEMPT_HEADER, call.attempt)
-            .header(service::ORDER_ID_HEADER, call.order)
+            .header(service::ORDER_ID_HEADER, call.order_id)
             .body(Full::new(call.body));
         let request = request.map_err(|source| Error::Format {
             address,
@@ -80,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when no whole answer arrives in time; the call may have run then.
+    /// Returns an error when no complete answer arrives in time. The call may have run then.
     pub async fn send(mut self) -> Result<Answer, Error> {
         let response = self.connection.send(self.request).await?;
         let (head, body) = response.into_parts();
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -1,7 +1,7 @@
-//! One exchange with an upstream over a connection of its own.
+//! Connections to engines, plain services and the platform's list, without a pool.
 //!
-//! A connection carries a single exchange at a time and none is kept idle, so a failure before
-//! [`Connection::send`] proves that the upstream saw nothing.
+//! A connection carries one exchange at a time and none is kept idle in a pool, so a failure
+//! before [`Connection::send`] proves that the upstream received nothing of the request.
 
 use std::error;
 use std::net::SocketAddr;
@@ -29,16 +29,17 @@
 use protocol::refusal::NotRun;
 use state::ident::Incarnation;
 
-/// Bounds the times and sizes of one exchange.
+/// Limits on the times and sizes of one exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bounds a body that is read whole, in bytes.
+    /// Size limit of a body that is read as a whole, in bytes.
     pub body_limit: usize,
-    /// Bounds the time to connect.
+    /// Time limit for connecting.
     pub connect_timeout: Duration,
-    /// Bounds the time from the request to the head of the response.
+    /// Time limit from the request to the head of the response, and for a body that is read as a
+    /// whole.
     pub head_timeout: Duration,
-    /// Bounds the time without a byte in the body of the response.
+    /// Longest time without a byte in a body that is read in chunks.
     pub idle_timeout: Duration,
 }
 
@@ -53,111 +54,111 @@
     }
 }
 
-/// Tells why an exchange failed.
+/// The reason why an exchange failed.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Reports a body that is too long.
+    /// The body of the response is too long.
     #[error("upstream {address} sent more than {limit} bytes")]
     BodyTooLong {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the bound, in bytes.
+        /// Size limit, in bytes.
         limit: usize,
     },
-    /// Reports that no connection was made; no byte of the request left.
-    #[error("upstream {address} can't be reached: {source}")]
+    /// No connection was made, so no byte of the request was sent.
+    #[error("cannot connect to upstream {address}: {source}")]
     Connect {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the cause.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// Reports that no connection was made in time; no byte of the request left.
-    #[error("upstream {address} took no connection within {limit:?}")]
+    /// No connection was made in time, so no byte of the request was sent.
+    #[error("cannot connect to upstream {address} within {limit:?}")]
     ConnectTimeout {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the bound.
+        /// Time limit that was exceeded.
         limit: Duration,
     },
-    /// Reports a connection that was cut after the request may have left.
-    #[error("upstream {address} cut the connection: {source}")]
+    /// The connection failed after the request may have been sent.
+    #[error("connection to upstream {address} failed: {source}")]
     Disconnected {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the cause.
+        /// Cause of the failure.
         source: Box<dyn error::Error + Send + Sync>,
     },
-    /// Reports an answer that is not in the contract's format.
-    #[error("upstream {address} sent what the contract does not allow: {source}")]
+    /// The response does not follow the contract, or the request cannot be encoded.
+    #[error("exchange with upstream {address} violates the contract: {source}")]
     Format {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the cause.
+        /// Cause of the failure.
         source: FormatError,
     },
-    /// Reports an upstream that sent nothing for too long.
+    /// The upstream sent nothing for too long.
     #[error("upstream {address} sent nothing for {limit:?}")]
     Idle {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Gives the bound.
+        /// Time limit that was exceeded.
         limit: Duration,
     },
-    /// Reports another run or weights version than the attempt was planned for.
-    #[error("upstream {address} is {found:?}, not {expected:?}")]
+    /// The engine has restarted or serves another weights version than the attempt was planned for.
+    #[error("upstream {address} identifies itself as {found:?} instead of {expected:?}")]
     Mismatch {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Tells what was planned for.
+        /// Identity that the attempt was planned for.
         expected: EngineIdentity,
-        /// Tells what answered.
+        /// Identity in the response.
         found: EngineIdentity,
     },
-    /// Reports a refusal of the engine, which had no effect.
-    #[error("upstream {address} refused: {}", refusal.code)]
+    /// The engine refused the request, which had no effect.
+    #[error("upstream {address} refused the request: {}", refusal.code)]
     Refused {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Holds the refusal.
+        /// Refusal in the body of the response.
         refusal: engine::Refusal,
     },
-    /// Reports a status without a refusal that can be read.
+    /// The status reports a failure and the body holds no valid refusal.
     #[error("upstream {address} answered with status {status}")]
     Status {
-        /// Names the upstream.
+        /// Address of the upstream.
         address: SocketAddr,
-        /// Holds the status.
+        /// HTTP status code.
         status: u16,
     },
 }
 
-/// Tells what in an answer is not in the contract's format.
+/// The part of an exchange that violates the contract.
 #[derive(Debug, Error)]
 pub enum FormatError {
-    /// Reports a stream of events that can't be read.
+    /// The event stream is malformed.
     #[error(transparent)]
     Events(#[from] sse::Error),
-    /// Reports a missing or malformed header.
+    /// A header is missing or malformed.
     #[error("header `{name}` is missing or malformed")]
     Header {
-        /// Names the header.
+        /// Name of the header.
         name: &'static str,
     },
-    /// Reports JSON that can't be read.
+    /// A body is not valid JSON for the message.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Reports a request that can't be written as HTTP.
+    /// The request cannot be encoded as HTTP.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
 }
 
-/// Names the run of an engine and the weights that it serves.
+/// The process of an engine and the weights that it serves.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct EngineIdentity {
-    /// Names the run.
+    /// Incarnation, which is new for each process of the engine.
     pub incarnation: Incarnation,
-    /// Names the weights version.
+    /// Version of the weights.
     pub version: String,
 }
 
@@ -178,7 +179,7 @@
     }
 }
 
-/// Holds a connection for one exchange; dropping it closes the connection.
+/// A connection for one exchange at a time; dropping it closes the connection.
 #[derive(Debug)]
 pub struct Connection {
     address: SocketAddr,
@@ -200,11 +201,11 @@
             Ok(Err(source)) => return Err(Error::Connect { address, source }),
             Ok(Ok(stream)) => stream,
         };
-        let connect = |source| Error::Connect { address, source };
-        stream.set_nodelay(true).map_err(connect)?;
+        let failed = |source| Error::Connect { address, source };
+        stream.set_nodelay(true).map_err(failed)?;
         let io = TokioIo::new(stream);
-        let shaken = http1::handshake(io).await;
-        let (sender, connection) = shaken.map_err(|e| connect(std::io::Error::other(e)))?;
+        let handshake = http1::handshake(io).await;
+        let (sender, connection) = handshake.map_err(|e| failed(std::io::Error::other(e)))?;
         let task = tokio::spawn(async move {
             let _ = connection.await;
         });
@@ -216,12 +217,12 @@
         })
     }
 
-    /// Returns the address.
+    /// Returns the address of the upstream.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the bounds.
+    /// Returns the limits that apply to each exchange.
     pub fn limits(&self) -> Limits {
         self.limits
     }
@@ -230,8 +231,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the connection is cut or no head arrives in time; the request may
-    /// have had its effect then.
+    /// Returns an error when the connection fails or no head arrives in time. The request may have
+    /// had its effect then.
     pub async fn send(
         &mut self,
         mut request: Request<Full<Bytes>>,
@@ -242,23 +243,23 @@
         }
         match timeout(limit, self.sender.send_request(request)).await {
             Err(_) => Err(Error::Idle { address, limit }),
-            Ok(Err(source)) => Err(self.cut(source)),
+            Ok(Err(source)) => Err(self.disconnected(source)),
             Ok(Ok(response)) => Ok(response),
         }
     }
 
-    /// Reads the next bytes of a body, or `None` at its end.
+    /// Returns the next bytes of a body, or `None` at its end.
     ///
     /// # Errors
     ///
-    /// Returns an error when the connection is cut or nothing arrives in time.
+    /// Returns an error when the connection fails or nothing arrives in time.
     pub async fn next_chunk(&self, body: &mut Incoming) -> Result<Option<Bytes>, Error> {
         let (address, limit) = (self.address, self.limits.idle_timeout);
         loop {
             let frame = match timeout(limit, body.frame()).await {
                 Err(_) => return Err(Error::Idle { address, limit }),
                 Ok(None) => return Ok(None),
-                Ok(Some(Err(source))) => return Err(self.cut(source)),
+                Ok(Some(Err(source))) => return Err(self.disconnected(source)),
                 Ok(Some(Ok(frame))) => frame,
             };
             if let Ok(bytes) = frame.into_data() {
@@ -267,11 +268,11 @@
         }
     }
 
-    /// Reads a whole body.
+    /// Reads and returns a whole body.
     ///
     /// # Errors
     ///
-    /// Returns an error when the body is cut, too long or not complete in time.
+    /// Returns an error when the connection fails, or the body is too long or not complete in time.
     pub async fn read_body(&self, body: Incoming) -> Result<Bytes, Error> {
         let (address, limit) = (self.address, self.limits.head_timeout);
         let read = Limited::new(body, self.limits.body_limit).collect();
@@ -286,7 +287,7 @@
         }
     }
 
-    fn cut(&self, source: hyper::Error) -> Error {
+    fn disconnected(&self, source: hyper::Error) -> Error {
         Error::Disconnected {
             address: self.address,
             source: source.into(),
--- a/crates/transport/tests/connection_pool.rs
+++ b/crates/transport/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to upstreams that keep, close and refuse them.
+//! Tests of the connection pool with upstreams that keep, close and refuse connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,6 +26,8 @@
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 /// Starts an upstream that sends `answer` for each request and counts its connections.
+///
+/// It closes a connection after the first answer if `closes` is set.
 async fn upstream(answer: &'static [u8], closes: bool) -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -40,6 +42,7 @@
     (address, opened)
 }
 
+/// Answers the requests of one connection, each of which ends at an empty line.
 async fn serve(mut stream: TcpStream, answer: &'static [u8], closes: bool) {
     let mut request = Vec::new();
     let mut bytes = [0; 1_024];
@@ -70,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_is_used_again() {
+async fn a_connection_is_reused() {
     let (address, opened) = upstream(ANSWER, false).await;
     let pool = ConnectionPool::default();
     for _ in 0..5 {
@@ -80,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_was_idle_for_too_long_is_not_used() {
+async fn a_connection_that_was_idle_for_too_long_is_not_reused() {
     let (address, opened) = upstream(ANSWER, false).await;
     let pool = ConnectionPool::default();
     let limits = Limits {
@@ -112,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_to_an_upstream_that_is_gone_is_dropped() {
+async fn a_connection_to_a_removed_upstream_is_closed() {
     let (address, opened) = upstream(ANSWER, false).await;
     let pool = ConnectionPool::default();
     assert_matches!(exchange(&pool, address, LIMITS).await, Ok(200));
@@ -122,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_shows_that_nothing_was_sent() {
+async fn a_refused_connection_is_reported_as_not_sent() {
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
@@ -131,14 +134,14 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_ends_without_an_answer_may_have_carried_the_request() {
+async fn a_connection_that_closes_without_an_answer_is_reported_as_disconnected() {
     let (address, _) = upstream(b"", true).await;
     let failure = exchange(&ConnectionPool::default(), address, LIMITS).await;
     assert_matches!(failure, Err(Error::Disconnected { .. }));
 }
 
 #[tokio::test]
-async fn an_answer_that_ends_early_does_not_pass_for_a_whole_one() {
+async fn a_truncated_answer_is_an_error() {
     let (address, _) = upstream(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok", true).await;
     let failure = exchange(&ConnectionPool::default(), address, LIMITS).await;
     assert_matches!(failure, Err(Error::Disconnected { .. }));
