--- a/crates/hibiscushoist/src/caller.rs
+++ b/crates/hibiscushoist/src/caller.rs
@@ -176,7 +176,7 @@
     let Ok(body) = body.collect().await else {
         return End::Broken;
     };
-    match serde_json::from_slice::<refusal::Body>(&body.to_bytes()) {
+    match serde_json::from_slice::<refusal::RefusalBody>(&body.to_bytes()) {
         Ok(body) => End::Refused(body.error.reason),
         Err(_) => End::Broken,
     }
--- a/crates/hibiscushoist/src/client.rs
+++ b/crates/hibiscushoist/src/client.rs
@@ -168,10 +168,10 @@
             return serde_json::from_slice(&self.body)
                 .change_context_lazy(|| Error::Answer { path, server });
         }
-        if let Ok(body) = serde_json::from_slice::<operator::Body>(&self.body) {
+        if let Ok(body) = serde_json::from_slice::<operator::FailureBody>(&self.body) {
             return Err(Error::Failed(body.error).into());
         }
-        if let Ok(body) = serde_json::from_slice::<refusal::Body>(&self.body) {
+        if let Ok(body) = serde_json::from_slice::<refusal::RefusalBody>(&self.body) {
             return Err(Error::Refused(body.error).into());
         }
         Err(Error::Status {
--- a/crates/hibiscushoist/src/edit.rs
+++ b/crates/hibiscushoist/src/edit.rs
@@ -8,7 +8,7 @@
 
 use crate::client::Client;
 use crate::error::Error;
-use protocol::operator::Kind;
+use protocol::operator::FailureKind;
 use state::edit::Edit;
 use state::edit::Receipt;
 
@@ -63,8 +63,8 @@
 fn doubt(error: &Error) -> Doubt {
     match error {
         Error::Failed(failure) => match failure.kind {
-            Kind::OutcomeUnknown => Doubt::Unknown,
-            Kind::QuorumAway => Doubt::NotAccepted,
+            FailureKind::OutcomeUnknown => Doubt::Unknown,
+            FailureKind::QuorumAway => Doubt::NotAccepted,
             _ => Doubt::None,
         },
         Error::Answer { .. } | Error::Unreachable { .. } => Doubt::Unknown,
--- a/crates/hibiscushoist/src/error.rs
+++ b/crates/hibiscushoist/src/error.rs
@@ -163,15 +163,15 @@
     }
 }
 
-fn kind(kind: operator::Kind) -> u8 {
+fn kind(kind: operator::FailureKind) -> u8 {
     match kind {
-        operator::Kind::Conflict => CONFLICT,
-        operator::Kind::OutcomeUnknown => UNKNOWN,
-        operator::Kind::Unauthorized => UNAUTHORIZED,
-        operator::Kind::BadRequest
-        | operator::Kind::KeyReused
-        | operator::Kind::QuorumAway
-        | operator::Kind::Unknown => REFUSED,
+        operator::FailureKind::Conflict => CONFLICT,
+        operator::FailureKind::OutcomeUnknown => UNKNOWN,
+        operator::FailureKind::Unauthorized => UNAUTHORIZED,
+        operator::FailureKind::BadRequest
+        | operator::FailureKind::KeyReused
+        | operator::FailureKind::QuorumAway
+        | operator::FailureKind::Unknown => REFUSED,
     }
 }
 
--- a/crates/hibiscushoist/tests/cli/operator.rs
+++ b/crates/hibiscushoist/tests/cli/operator.rs
@@ -9,9 +9,9 @@
 use crate::daemon::run;
 use crate::daemon::stderr;
 use crate::daemon::stdout;
-use protocol::operator::Body;
 use protocol::operator::Failure;
-use protocol::operator::Kind;
+use protocol::operator::FailureBody;
+use protocol::operator::FailureKind;
 use protocol::operator::RowView;
 use protocol::operator::TableView;
 use protocol::operator::Voter;
@@ -38,9 +38,9 @@
     }
 }
 
-fn failure(kind: Kind) -> Body {
+fn failure(kind: FailureKind) -> FailureBody {
     let message = "the daemon says why".to_owned();
-    Body {
+    FailureBody {
         error: Failure { kind, message },
     }
 }
@@ -95,7 +95,7 @@
 fn a_lost_answer_is_asked_for_under_the_same_key() {
     let daemon = Daemon::new("lost")
         .lose(EDITS)
-        .reply(EDITS, 504, &failure(Kind::OutcomeUnknown))
+        .reply(EDITS, 504, &failure(FailureKind::OutcomeUnknown))
         .reply(EDITS, 200, &Receipt { revision: 10 });
     let words = ["table", "remove", "models", "large", "--if-revision", "7"];
     let output = daemon.run(&words);
@@ -140,11 +140,11 @@
 #[test]
 fn failures_have_their_exit_codes() {
     let cases = [
-        (Kind::BadRequest, 6),
-        (Kind::Conflict, 5),
-        (Kind::KeyReused, 6),
-        (Kind::Unauthorized, 4),
-        (Kind::Unknown, 6),
+        (FailureKind::BadRequest, 6),
+        (FailureKind::Conflict, 5),
+        (FailureKind::KeyReused, 6),
+        (FailureKind::Unauthorized, 4),
+        (FailureKind::Unknown, 6),
     ];
     for (kind, code) in cases {
         let daemon = Daemon::new(&format!("exit-{kind}"));
@@ -159,7 +159,7 @@
 #[test]
 fn an_edit_that_was_not_accepted_is_tried_on() {
     let daemon = Daemon::new("quorum")
-        .reply(EDITS, 503, &failure(Kind::QuorumAway))
+        .reply(EDITS, 503, &failure(FailureKind::QuorumAway))
         .reply(EDITS, 200, &Receipt { revision: 3 });
     let output = daemon.run(&["table", "add", "models", "large", "version=v1"]);
     assert_eq!(stdout(&output), "table revision 3\n");
@@ -235,7 +235,7 @@
 
 #[test]
 fn the_key_goes_into_the_header_and_nowhere_else() {
-    let daemon = Daemon::new("secret").reply(TABLE, 401, &failure(Kind::Unauthorized));
+    let daemon = Daemon::new("secret").reply(TABLE, 401, &failure(FailureKind::Unauthorized));
     let output = daemon.run(&["table", "get"]);
     assert_eq!(daemon.seen()[0].authorization, format!("Bearer {KEY}"));
     assert!(!stdout(&output).contains(KEY));
--- a/crates/hibiscushoistd/src/admin.rs
+++ b/crates/hibiscushoistd/src/admin.rs
@@ -15,7 +15,7 @@
 use crate::status;
 use crate::voter;
 use protocol::operator::Failure;
-use protocol::operator::Kind;
+use protocol::operator::FailureKind;
 use protocol::operator::TableView;
 use protocol::voter::VoterChange;
 use state::edit::Edit;
@@ -48,7 +48,7 @@
     let expected = context.settings.operator_key_hash.as_deref();
     if !expected.is_some_and(|hash| auth::is_operator(&request.headers, hash)) {
         let message = "the operators' key is missing or wrong";
-        return Err(failed(Kind::Unauthorized, message));
+        return Err(failed(FailureKind::Unauthorized, message));
     }
     let path = request.uri.path().to_owned();
     let parts: Vec<&str> = path.split('/').skip(2).collect();
@@ -64,7 +64,7 @@
         ("GET", ["watch"]) => watch(context, after(&request)?).await,
         ("POST", ["edits"]) => edit(context, request).await,
         ("POST", ["voters"]) => member(context, request).await,
-        _ => Err(failed(Kind::Unknown, "no such path")),
+        _ => Err(failed(FailureKind::Unknown, "no such path")),
     }
 }
 
@@ -74,7 +74,7 @@
         .split('&')
         .find_map(|pair| pair.strip_prefix("after="));
     let after = after.map_or(Ok(0), str::parse);
-    after.map_err(|_| failed(Kind::BadRequest, "`after` takes a revision"))
+    after.map_err(|_| failed(FailureKind::BadRequest, "`after` takes a revision"))
 }
 
 async fn edit(context: &Context, request: Request) -> Answer {
@@ -108,7 +108,7 @@
 }
 
 async fn body<T: DeserializeOwned>(mut request: Request) -> Result<T, Failure> {
-    let malformed = |message: String| failed(Kind::BadRequest, message);
+    let malformed = |message: String| failed(FailureKind::BadRequest, message);
     let body = request
         .read(EDIT_LIMIT_BYTES, READ_TIMEOUT)
         .await
@@ -117,7 +117,7 @@
         .map_err(|error| malformed(format!("the body is not what this path takes: {error}")))
 }
 
-fn failed(kind: Kind, message: impl Into<String>) -> Failure {
+fn failed(kind: FailureKind, message: impl Into<String>) -> Failure {
     Failure {
         kind,
         message: message.into(),
@@ -126,19 +126,19 @@
 
 fn explain(context: &Context, id: &str) -> Answer {
     let message = "no request of that identifier is kept here";
-    let missing = || failed(Kind::Unknown, message);
+    let missing = || failed(FailureKind::Unknown, message);
     let explanation = context.journal.get(id).ok_or_else(missing)?;
     Ok(respond::json(200, &explanation))
 }
 
 fn refused(context: &Context, error: &voter::Error) -> Failure {
     let kind = match error {
-        voter::Error::Refused(table::Error::Conflict { .. }) => Kind::Conflict,
-        voter::Error::Refused(table::Error::ReusedKey { .. }) => Kind::KeyReused,
-        voter::Error::Refused(table::Error::UnknownRow { .. }) => Kind::Unknown,
-        voter::Error::Refused(_) => Kind::BadRequest,
-        voter::Error::QuorumAway(_) => Kind::QuorumAway,
-        voter::Error::Answer | voter::Error::Unanswered => Kind::OutcomeUnknown,
+        voter::Error::Refused(table::Error::Conflict { .. }) => FailureKind::Conflict,
+        voter::Error::Refused(table::Error::ReusedKey { .. }) => FailureKind::KeyReused,
+        voter::Error::Refused(table::Error::UnknownRow { .. }) => FailureKind::Unknown,
+        voter::Error::Refused(_) => FailureKind::BadRequest,
+        voter::Error::QuorumAway(_) => FailureKind::QuorumAway,
+        voter::Error::Answer | voter::Error::Unanswered => FailureKind::OutcomeUnknown,
     };
     let details = slog::o!("kind" => kind.to_string(), "error" => error.to_string());
     event::emit(&context.log, Event::EditRefused, details);
--- a/crates/hibiscushoistd/src/completions.rs
+++ b/crates/hibiscushoistd/src/completions.rs
@@ -152,7 +152,7 @@
             Part::Failed(failure) => {
                 let error = caller::refusal(&self.id, failure);
                 caller::count(&error);
-                Bytes::from(data(&refusal::Body { error }))
+                Bytes::from(data(&refusal::RefusalBody { error }))
             }
             Part::Text(text) => Bytes::from(data(&self.piece(text, None))),
         }
--- a/crates/hibiscushoistd/src/respond.rs
+++ b/crates/hibiscushoistd/src/respond.rs
@@ -29,7 +29,7 @@
 
 /// Returns a response that tells an operator what failed.
 pub fn failure(error: operator::Failure) -> Response<Body> {
-    json(error.kind.status(), &operator::Body { error })
+    json(error.kind.status(), &operator::FailureBody { error })
 }
 
 /// Returns a response that refuses a request; its extensions hold the reason.
@@ -37,7 +37,7 @@
     let retry_after = refusal.retry_after_ms;
     let reason = refusal.reason;
     let id = refusal.request_id.clone();
-    let mut response = json(reason.status(), &refusal::Body { error: refusal });
+    let mut response = json(reason.status(), &refusal::RefusalBody { error: refusal });
     response.extensions_mut().insert(reason);
     if let Some(millis) = retry_after {
         let seconds = millis.div_ceil(MILLIS_PER_SECOND);
--- a/crates/hibiscushoistd/tests/pages.rs
+++ b/crates/hibiscushoistd/tests/pages.rs
@@ -11,7 +11,7 @@
 use coordination::retry;
 use hibiscushoistd::settings::Role;
 use hibiscushoistd::settings::SECTIONS;
-use protocol::operator::Kind;
+use protocol::operator::FailureKind;
 use protocol::refusal::Reason;
 use state::column::Column;
 use state::column::ValueType;
@@ -160,7 +160,7 @@
 fn every_kind_of_failure_stands_on_its_page_with_its_status() {
     let listed = rows(&part(&page("METRICS.md"), "Operators' failures"));
     let found = listed.values().map(|row| (row[0].clone(), row[1].clone()));
-    let expected = Kind::iter().map(|kind| (kind.to_string(), kind.status().to_string()));
+    let expected = FailureKind::iter().map(|kind| (kind.to_string(), kind.status().to_string()));
     assert_eq!(found.collect::<BTreeSet<_>>(), expected.collect());
 }
 
--- a/crates/hibiscushoistd/tests/soak/callers.rs
+++ b/crates/hibiscushoistd/tests/soak/callers.rs
@@ -96,7 +96,7 @@
                     self.judge(key, &body);
                     return;
                 }
-                Some((_, body)) => match serde_json::from_slice::<refusal::Body>(&body) {
+                Some((_, body)) => match serde_json::from_slice::<refusal::RefusalBody>(&body) {
                     Ok(body) if body.error.not_run == NotRun::True => {}
                     Ok(_) | Err(_) => may_have_run = true,
                 },
--- a/crates/protocol/src/operator.rs
+++ b/crates/protocol/src/operator.rs
@@ -101,7 +101,7 @@
 )]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Kind {
+pub enum FailureKind {
     /// The request is malformed or an edit does not fit its sheet.
     BadRequest,
     /// The row has a newer revision than the one that the edit is based on.
@@ -118,7 +118,7 @@
     Unknown,
 }
 
-impl Kind {
+impl FailureKind {
     /// Returns the HTTP status that goes with the kind.
     pub fn status(self) -> u16 {
         match self {
@@ -136,14 +136,14 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Failure {
     /// Kind of the failure.
-    pub kind: Kind,
+    pub kind: FailureKind,
     /// What happened and what the operator can do, in words.
     pub message: String,
 }
 
 /// Body of the response for a failed request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Body {
+pub struct FailureBody {
     /// The failure.
     pub error: Failure,
 }
--- a/crates/protocol/src/refusal.rs
+++ b/crates/protocol/src/refusal.rs
@@ -130,7 +130,7 @@
 
 /// Body of the response for a refused request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Body {
+pub struct RefusalBody {
     /// The refusal.
     pub error: Refusal,
 }
--- a/crates/protocol/tests/decoders.rs
+++ b/crates/protocol/tests/decoders.rs
@@ -86,7 +86,7 @@
         prop_assert!(round_trips::<engine::Snapshot>(&value));
         prop_assert!(round_trips::<operator::Status>(&value));
         prop_assert!(round_trips::<operator::Explanation>(&value));
-        prop_assert!(round_trips::<refusal::Body>(&value));
+        prop_assert!(round_trips::<refusal::RefusalBody>(&value));
         prop_assert!(round_trips::<Edit>(&value));
     }
 
