--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -20,10 +20,10 @@
 use tokio::time::Duration;
 use tokio::time::Instant;
 
-use crate::cache::Cache;
 use crate::engine_kv;
 use crate::engine_stream;
 use crate::http_client::send;
+use crate::prefix_cache::PrefixCache;
 use crate::server;
 use crate::server::Body;
 use crate::server::Disconnect;
@@ -51,15 +51,15 @@
     /// Gives the address to serve; port 0 picks a free one.
     pub address: SocketAddr,
     /// Bounds the answers, in tokens, whatever the request asks.
-    pub answer_tokens: u64,
+    pub max_answer_tokens: u64,
     /// Gives the length of the prompt that each block covers, in bytes.
     pub block_bytes: u64,
     /// Bounds the cache, in blocks.
-    pub blocks: usize,
+    pub cache_blocks: usize,
     /// Tells whether orders with an old fencing number are refused.
     pub checks_fence: bool,
     /// Bounds the changes that are kept for readers.
-    pub events_retained: usize,
+    pub max_events: usize,
     /// Gives the time between heartbeats in a stream without tokens.
     pub heartbeat: Duration,
     /// Gives the time to load weights.
@@ -69,7 +69,7 @@
     /// Gives the time to compute one block.
     pub prefill_time: Duration,
     /// Bounds the requests that wait.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Gives the time from a crash to serving again.
     pub restart_time: Duration,
     /// Bounds the requests that run at once.
@@ -86,16 +86,16 @@
     fn default() -> Self {
         Self {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
-            answer_tokens: u64::MAX,
+            max_answer_tokens: u64::MAX,
             block_bytes: 64,
-            blocks: 1_000,
+            cache_blocks: 1_000,
             checks_fence: true,
-            events_retained: 10_000,
+            max_events: 10_000,
             heartbeat: Duration::from_millis(20),
             load_time: Duration::from_millis(50),
             model: "m".to_owned(),
             prefill_time: Duration::from_millis(1),
-            queue: 1_000,
+            queue_limit: 1_000,
             restart_time: Duration::from_millis(50),
             slots: 8,
             token_time: Duration::from_millis(1),
@@ -111,19 +111,19 @@
     /// Cuts the next stream that reaches this offset, once.
     pub cut_at: Option<u64>,
     /// Delays changes of the cache.
-    pub events_delay: Duration,
+    pub event_delay: Duration,
     /// Delays reports of load.
-    pub load_lag: Duration,
+    pub load_report_delay: Duration,
     /// Loses each change of the cache whose number is a multiple of this; zero loses none.
-    pub lose_every: u64,
+    pub drop_every_nth: u64,
     /// Leaves out the finishing piece and the end mark of each answer.
-    pub no_end: bool,
+    pub omit_end: bool,
     /// Crashes the engine when it starts to run a prompt that contains this text.
     pub poison: Option<String>,
     /// Repeats the token at this offset in the next stream that reaches it, once.
     pub repeat_at: Option<u64>,
     /// Lets the next stream that reaches this offset fall silent for good, once.
-    pub silent_at: Option<u64>,
+    pub stall_at: Option<u64>,
     /// Leaves out the token at this offset in the next stream that reaches it, once.
     pub skip_at: Option<u64>,
     /// Names another attempt in each piece.
@@ -136,21 +136,21 @@
     /// Counts the crashes.
     pub crashes: u64,
     /// Counts the prompt blocks that were computed.
-    pub prefilled: u64,
+    pub prefilled_blocks: u64,
     /// Counts the prompts that began to run.
-    pub started: u64,
+    pub started_prompts: u64,
     /// Counts the attempts that were stopped by a cancel or a closed connection.
-    pub stopped: u64,
+    pub stopped_attempts: u64,
 }
 
 pub(crate) struct Inner {
-    pub(crate) cache: Cache,
+    pub(crate) cache: PrefixCache,
     pub(crate) counts: Counts,
     pub(crate) faults: Faults,
     pub(crate) last: Option<engine::Request>,
     pub(crate) queued: Queued,
     pub(crate) running: HashMap<String, watch::Sender<bool>>,
-    pub(crate) standing: engine::State,
+    pub(crate) state: engine::State,
     reports: VecDeque<Report>,
 }
 
@@ -221,21 +221,21 @@
     }
 
     /// Changes the switches.
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut inner = self.shared.lock();
         change(&mut inner.faults);
-        let every = inner.faults.lose_every;
-        inner.cache.lose_every(every);
+        let every = inner.faults.drop_every_nth;
+        inner.cache.drop_every_nth(every);
     }
 
     /// Holds still everything the engine does, or lets it go on.
-    pub fn freeze(&self, frozen: bool) {
+    pub fn set_frozen(&self, frozen: bool) {
         self.shared.frozen.send_replace(frozen);
     }
 
     /// Returns the incarnation.
     pub fn incarnation(&self) -> Incarnation {
-        self.shared.lock().standing.incarnation
+        self.shared.lock().state.incarnation
     }
 
     /// Returns the newest request for a completion, as it was read.
@@ -254,14 +254,14 @@
     }
 
     /// Returns what the engine serves.
-    pub fn standing(&self) -> engine::State {
-        self.shared.lock().standing.clone()
+    pub fn state(&self) -> engine::State {
+        self.shared.lock().state.clone()
     }
 
     /// Returns the text of an answer from `first` to before `end`.
     pub fn text(&self, prompt: &str, first: u64, end: u64) -> String {
-        let standing = self.standing();
-        answer(&standing.model, &standing.version, prompt, first, end)
+        let state = self.state();
+        answer_text(&state.model, &state.version, prompt, first, end)
     }
 }
 
@@ -273,14 +273,14 @@
 }
 
 /// Returns the text that any stand-in gives for `prompt`, from token `first` to before `end`.
-pub fn answer(model: &str, version: &str, prompt: &str, first: u64, end: u64) -> String {
+pub fn answer_text(model: &str, version: &str, prompt: &str, first: u64, end: u64) -> String {
     let digest = Digest::of(&[model.as_bytes(), version.as_bytes(), prompt.as_bytes()]);
     (first..end).map(|i| format!("w{digest}-{i} ")).collect()
 }
 
 impl Shared {
     fn new(options: Options) -> Self {
-        let standing = engine::State {
+        let state = engine::State {
             incarnation: Incarnation(1),
             model: options.model.clone(),
             role: "mixed".to_owned(),
@@ -288,14 +288,14 @@
             ..engine::State::default()
         };
         let inner = Inner {
-            cache: Cache::new(options.blocks, options.events_retained),
+            cache: PrefixCache::new(options.cache_blocks, options.max_events),
             counts: Counts::default(),
             faults: Faults::default(),
             last: None,
             queued: Queued::default(),
             reports: VecDeque::new(),
             running: HashMap::new(),
-            standing,
+            state,
         };
         let slots = Slots::new(options.slots);
         Self {
@@ -325,13 +325,13 @@
         {
             let mut inner = self.lock();
             inner.counts.crashes += 1;
-            inner.cache = Cache::new(self.options.blocks, self.options.events_retained);
-            let every = inner.faults.lose_every;
-            inner.cache.lose_every(every);
-            inner.standing.incarnation.0 += 1;
-            inner.standing.fence = 0;
-            inner.standing.loading = None;
-            inner.standing.order = None;
+            inner.cache = PrefixCache::new(self.options.cache_blocks, self.options.max_events);
+            let every = inner.faults.drop_every_nth;
+            inner.cache.drop_every_nth(every);
+            inner.state.incarnation.0 += 1;
+            inner.state.fence = 0;
+            inner.state.loading = None;
+            inner.state.order = None;
             inner.reports.clear();
         }
         tokio::spawn(async move {
@@ -346,10 +346,10 @@
     /// Puts the identity of the engine on a response.
     pub(crate) fn sign(&self, mut response: Response<Body>) -> Response<Body> {
         let inner = self.lock();
-        let incarnation = inner.standing.incarnation.0.into();
+        let incarnation = inner.state.incarnation.0.into();
         let headers = response.headers_mut();
         headers.insert(engine::INCARNATION_HEADER, incarnation);
-        if let Ok(version) = inner.standing.version.parse() {
+        if let Ok(version) = inner.state.version.parse() {
             headers.insert(engine::WEIGHTS_VERSION_HEADER, version);
         }
         response
@@ -362,22 +362,22 @@
         let load = engine::Load {
             age_ms: 0,
             block_bytes: self.options.block_bytes,
-            blocks_capacity: self.options.blocks as u64,
+            blocks_capacity: self.options.cache_blocks as u64,
             blocks_used: inner.cache.len() as u64,
-            incarnation: inner.standing.incarnation,
-            model: inner.standing.model.clone(),
+            incarnation: inner.state.incarnation,
+            model: inner.state.model.clone(),
             prefill_rate: self.prefill_rate(),
             queued_background_tokens: inner.queued.background * self.block_tokens(),
             queued_urgent_tokens: inner.queued.urgent * self.block_tokens(),
             running: running as u64,
-            serving: inner.standing.loading.is_none(),
+            serving: inner.state.loading.is_none(),
             slots: self.options.slots as u64,
-            version: inner.standing.version.clone(),
+            version: inner.state.version.clone(),
             waiting: waiting as u64,
         };
         let at = Instant::now();
         inner.reports.push_back(Report { at, load });
-        let lag = inner.faults.load_lag;
+        let lag = inner.faults.load_report_delay;
         let told = |r: &Report| r.at.elapsed() >= lag;
         while inner.reports.len() > 1 && told(&inner.reports[1]) {
             inner.reports.pop_front();
@@ -397,7 +397,7 @@
     fn load(&self) -> engine::Load {
         self.observe();
         let inner = self.lock();
-        let lag = inner.faults.load_lag;
+        let lag = inner.faults.load_report_delay;
         let age_ms = u64::try_from(lag.as_millis()).unwrap_or(u64::MAX);
         let load = inner.reports[0].load.clone();
         engine::Load { age_ms, ..load }
@@ -412,16 +412,16 @@
 
     async fn events(&self, query: &str) -> engine::Events {
         let after = number(query, "after").unwrap_or(0);
-        let delay = self.lock().faults.events_delay;
-        if self.lock().cache.newest(delay) <= after {
+        let delay = self.lock().faults.event_delay;
+        if self.lock().cache.newest_seq(delay) <= after {
             tokio::time::sleep(EVENTS_WAIT).await;
         }
         let inner = self.lock();
         engine::Events {
             events: inner.cache.events(after, delay, EVENTS_LIMIT),
-            incarnation: inner.standing.incarnation,
-            newest: inner.cache.newest(delay),
-            version: inner.standing.version.clone(),
+            incarnation: inner.state.incarnation,
+            newest: inner.cache.newest_seq(delay),
+            version: inner.state.version.clone(),
         }
     }
 
@@ -429,9 +429,9 @@
         let inner = self.lock();
         engine::Snapshot {
             blocks: inner.cache.snapshot(),
-            incarnation: inner.standing.incarnation,
+            incarnation: inner.state.incarnation,
             seq: inner.cache.seq(),
-            version: inner.standing.version.clone(),
+            version: inner.state.version.clone(),
         }
     }
 
@@ -452,17 +452,17 @@
             let fetched = self.fetch_weights(&model, &version).await;
             self.thaw().await;
             let mut inner = self.lock();
-            if inner.standing.incarnation != incarnation {
+            if inner.state.incarnation != incarnation {
                 return Err(refusal(Code::Unavailable));
             }
-            inner.standing.loading = None;
+            inner.state.loading = None;
             fetched?;
             inner.cache.clear();
-            inner.standing.adapter = adapter;
-            inner.standing.model = model;
-            inner.standing.version = version;
+            inner.state.adapter = adapter;
+            inner.state.model = model;
+            inner.state.version = version;
         }
-        Ok(self.lock().standing.clone())
+        Ok(self.lock().state.clone())
     }
 
     async fn fetch_weights(&self, model: &str, version: &str) -> Result<(), engine::Refusal> {
@@ -479,29 +479,29 @@
 
     fn accept(&self, order: &engine::Order) -> Result<Incarnation, engine::Refusal> {
         let mut inner = self.lock();
-        let standing = &mut inner.standing;
-        if self.options.checks_fence && order.fence < standing.fence {
+        let state = &mut inner.state;
+        if self.options.checks_fence && order.fence < state.fence {
             return Err(engine::Refusal {
                 code: Code::StaleFence,
-                fence: Some(standing.fence),
+                fence: Some(state.fence),
             });
         }
-        if standing.loading.is_some() {
+        if state.loading.is_some() {
             return Err(refusal(Code::Loading));
         }
-        standing.fence = standing.fence.max(order.fence);
-        standing.order = Some(order.id.clone());
+        state.fence = state.fence.max(order.fence);
+        state.order = Some(order.id.clone());
         match &order.action {
-            Action::Load { version, .. } => standing.loading = Some(version.clone()),
-            Action::Role(role) => standing.role.clone_from(role),
+            Action::Load { version, .. } => state.loading = Some(version.clone()),
+            Action::Role(role) => state.role.clone_from(role),
         }
-        Ok(standing.incarnation)
+        Ok(state.incarnation)
     }
 
     /// Returns the engine's own keys of the content of `prompt`.
-    pub(crate) fn contents(&self, salt: &str, prompt: &str) -> Vec<BlockHash> {
+    pub(crate) fn content_hashes(&self, salt: &str, prompt: &str) -> Vec<BlockHash> {
         let inner = self.lock();
-        let root = BlockHash::root(salt, &inner.standing.model, &inner.standing.version);
+        let root = BlockHash::root(salt, &inner.state.model, &inner.state.version);
         let size = usize::try_from(self.options.block_bytes).unwrap_or(usize::MAX);
         root.chain(prompt.as_bytes(), size)
     }
@@ -521,8 +521,8 @@
         }
         (&Method::GET, engine::LOAD_PATH) => server::json(200, &shared.load()),
         (&Method::GET, engine::ORDERS_PATH) => {
-            let standing = shared.lock().standing.clone();
-            server::json(200, &standing)
+            let state = shared.lock().state.clone();
+            server::json(200, &state)
         }
         (&Method::GET, engine::CACHE_SNAPSHOT_PATH) => server::json(200, &shared.snapshot()),
         (&Method::POST, engine::CANCEL_PATH) => match read(request).await? {
@@ -546,7 +546,7 @@
         },
         (&Method::POST, engine::ORDERS_PATH) => match read(request).await? {
             Some(order) => match tokio::spawn(Arc::clone(&shared).order(order)).await {
-                Ok(Ok(standing)) => server::json(200, &standing),
+                Ok(Ok(state)) => server::json(200, &state),
                 Ok(Err(refusal)) => refuse(refusal),
                 Err(_) => return Err(Disconnect),
             },
--- a/crates/fakes/src/engine_kv.rs
+++ b/crates/fakes/src/engine_kv.rs
@@ -2,9 +2,9 @@
 
 use hyper::Method;
 
-use crate::cache::Named;
 use crate::engine::Shared;
 use crate::http_client::send;
+use crate::prefix_cache::BlockKey;
 use protocol::block;
 use protocol::engine::Code;
 use protocol::engine::Transfer;
@@ -18,8 +18,8 @@
     for name in asked.blocks {
         let stored = {
             let inner = shared.lock();
-            let version = inner.standing.version.clone();
-            let content = inner.cache.content(name);
+            let version = inner.state.version.clone();
+            let content = inner.cache.content_hash(name);
             content.map(|content| StoredBlock { content, version })
         };
         let Some(stored) = stored else { break };
@@ -35,7 +35,7 @@
 
 /// Reads leading blocks until the store lacks one.
 pub(crate) async fn import(shared: &Shared, asked: Transfer) -> Result<Transferred, Code> {
-    let mut chain: Vec<Named> = Vec::new();
+    let mut chain: Vec<BlockKey> = Vec::new();
     for name in asked.blocks {
         let path = format!("{BLOCKS_PATH}{}", block::format(name));
         let stored: StoredBlock = match send(asked.store, Method::GET, path, Vec::new()).await {
@@ -44,11 +44,11 @@
             Ok(_) => break,
         };
         let mut inner = shared.lock();
-        if stored.version != inner.standing.version {
+        if stored.version != inner.state.version {
             return Err(Code::VersionMismatch);
         }
         let content = stored.content;
-        chain.push(Named { content, name });
+        chain.push(BlockKey { content, name });
         inner.cache.store(&chain);
     }
     let blocks = chain.iter().map(|named| named.name).collect();
--- a/crates/fakes/src/engine_stream.rs
+++ b/crates/fakes/src/engine_stream.rs
@@ -14,9 +14,9 @@
 use tokio::time::Duration;
 use tokio::time::Instant;
 
-use crate::cache::Named;
 use crate::engine::Shared;
-use crate::engine::answer;
+use crate::engine::answer_text;
+use crate::prefix_cache::BlockKey;
 use crate::server::Body;
 use crate::server::Disconnect;
 use crate::slots::Permit;
@@ -32,7 +32,7 @@
 struct Run {
     asked: engine::Request,
     cancelled: watch::Receiver<bool>,
-    chain: Vec<Named>,
+    chain: Vec<BlockKey>,
     end: u64,
     incarnation: Incarnation,
     next: u64,
@@ -77,24 +77,24 @@
         let chain = named(shared, &asked);
         let mut inner = shared.lock();
         inner.last = Some(asked.clone());
-        let standing = &inner.standing;
-        if standing.loading.is_some() {
+        let state = &inner.state;
+        if state.loading.is_some() {
             return Err(Code::Loading);
         }
-        if asked.model != standing.model {
+        if asked.model != state.model {
             return Err(Code::UnknownModel);
         }
-        if resume != known(standing, &asked.prompt, resume.offset) {
+        if resume != known(state, &asked.prompt, resume.offset) {
             return Err(Code::BadRequest);
         }
-        if shared.slots.waiting() >= shared.options.queue {
+        if shared.slots.waiting() >= shared.options.queue_limit {
             return Err(Code::Full);
         }
-        let incarnation = standing.incarnation;
+        let incarnation = state.incarnation;
         let (cancel, cancelled) = watch::channel(false);
         inner.running.insert(asked.id.clone(), cancel);
         *inner.queued.of(asked.priority) += chain.len() as u64;
-        let end = asked.max_tokens.min(shared.options.answer_tokens);
+        let end = asked.max_tokens.min(shared.options.max_answer_tokens);
         let slots = shared.slots.clone();
         let priority = asked.priority;
         Ok(Self {
@@ -161,8 +161,8 @@
         self.permit = Some((&mut self.queued).await);
         let (cached, poisoned) = {
             let mut inner = self.shared.lock();
-            inner.counts.started += 1;
-            let cached = inner.cache.matched(&self.chain);
+            inner.counts.started_prompts += 1;
+            let cached = inner.cache.match_prefix(&self.chain);
             *inner.queued.of(self.asked.priority) -= cached as u64;
             self.usage = Some(Usage {
                 cached_blocks: cached as u64,
@@ -199,11 +199,11 @@
         }
         tokio::time::sleep_until(self.ready).await;
         let mut inner = self.shared.lock();
-        if inner.standing.incarnation != self.incarnation {
+        if inner.state.incarnation != self.incarnation {
             return Step::Silent;
         }
         inner.cache.store(&self.chain[..=index]);
-        inner.counts.prefilled += 1;
+        inner.counts.prefilled_blocks += 1;
         *inner.queued.of(self.asked.priority) -= 1;
         drop(inner);
         self.enter(Stage::Prefill(index + 1));
@@ -212,7 +212,7 @@
 
     async fn decode(&mut self) -> Step {
         if self.next >= self.end {
-            if self.shared.lock().faults.no_end {
+            if self.shared.lock().faults.omit_end {
                 self.stage = Stage::Done;
                 return Step::Done;
             }
@@ -232,7 +232,7 @@
         if faults.cut_at.take_if(|at| *at == offset).is_some() {
             return Step::Disconnect;
         }
-        if faults.silent_at.take_if(|at| *at == offset).is_some() {
+        if faults.stall_at.take_if(|at| *at == offset).is_some() {
             return Step::Silent;
         }
         let skip = faults.skip_at.take_if(|at| *at == offset).is_some();
@@ -255,9 +255,9 @@
 
     fn piece(&mut self, offset: u64, tokens: u64, finish: Option<Finish>) -> String {
         let inner = self.shared.lock();
-        let standing = &inner.standing;
+        let state = &inner.state;
         let prompt = &self.asked.prompt;
-        let (model, version) = (&standing.model, &standing.version);
+        let (model, version) = (&state.model, &state.version);
         let id = match inner.faults.wrong_id {
             false => self.asked.id.clone(),
             true => format!("not-{}", self.asked.id),
@@ -266,7 +266,7 @@
             finish,
             id,
             offset,
-            text: answer(model, version, prompt, offset, offset + tokens),
+            text: answer_text(model, version, prompt, offset, offset + tokens),
             tokens,
             usage: self.usage.take(),
         };
@@ -287,7 +287,7 @@
         };
         *inner.queued.of(self.asked.priority) -= left as u64;
         if self.stage != Stage::Done {
-            inner.counts.stopped += 1;
+            inner.counts.stopped_attempts += 1;
         }
     }
 }
@@ -310,19 +310,19 @@
     Silent,
 }
 
-fn known(standing: &engine::State, prompt: &str, offset: u64) -> Resume {
-    let text = answer(&standing.model, &standing.version, prompt, 0, offset);
+fn known(state: &engine::State, prompt: &str, offset: u64) -> Resume {
+    let text = answer_text(&state.model, &state.version, prompt, 0, offset);
     Resume { offset, text }
 }
 
-fn named(shared: &Shared, asked: &engine::Request) -> Vec<Named> {
+fn named(shared: &Shared, asked: &engine::Request) -> Vec<BlockKey> {
     if asked.cache.block_bytes != shared.options.block_bytes {
         return Vec::new();
     }
-    let contents = shared.contents(&asked.cache.salt, &asked.prompt);
-    let pairs = asked.cache.blocks.iter().zip(contents);
+    let content_hashes = shared.content_hashes(&asked.cache.salt, &asked.prompt);
+    let pairs = asked.cache.blocks.iter().zip(content_hashes);
     pairs
-        .map(|(name, content)| Named {
+        .map(|(name, content)| BlockKey {
             content,
             name: *name,
         })
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -3,7 +3,6 @@
 //! Each stand-in serves its contract on a loopback address of the calling process and has
 //! switches for the faults of its kind.
 
-pub mod cache;
 mod connection;
 pub mod engine;
 mod engine_kv;
@@ -11,6 +10,7 @@
 mod http_client;
 pub mod kv_store;
 pub mod platform;
+pub mod prefix_cache;
 pub mod server;
 pub mod service;
 mod slots;
--- a/crates/fakes/src/cache.rs
+++ b/crates/fakes/src/prefix_cache.rs
@@ -13,48 +13,48 @@
 
 /// Holds a bounded set of blocks and evicts the least recently used.
 #[derive(Debug)]
-pub struct Cache {
-    blocks: HashMap<BlockHash, Held>,
+pub struct PrefixCache {
+    blocks: HashMap<BlockHash, CachedBlock>,
     capacity: usize,
     clock: u64,
-    lose_every: u64,
-    log: VecDeque<Logged>,
-    retained: usize,
+    drop_every_nth: u64,
+    log: VecDeque<LogEntry>,
+    max_events: usize,
     seq: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct CachedBlock {
     content: BlockHash,
     parent: Option<BlockHash>,
-    used: u64,
+    last_use: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Logged {
+struct LogEntry {
     at: Instant,
     event: Event,
 }
 
 /// Pairs the name that the caller gave a block with the engine's own key of its content.
 #[derive(Clone, Copy, Debug)]
-pub struct Named {
+pub struct BlockKey {
     /// Holds the engine's own key.
     pub content: BlockHash,
     /// Holds the caller's name.
     pub name: BlockHash,
 }
 
-impl Cache {
+impl PrefixCache {
     /// Returns an empty cache for `capacity` blocks that keeps the last `retained` changes.
-    pub fn new(capacity: usize, retained: usize) -> Self {
+    pub fn new(capacity: usize, max_events: usize) -> Self {
         Self {
             blocks: HashMap::new(),
             capacity,
             clock: 0,
-            lose_every: 0,
+            drop_every_nth: 0,
             log: VecDeque::new(),
-            retained,
+            max_events,
             seq: 0,
         }
     }
@@ -66,14 +66,14 @@
     }
 
     /// Returns the content key of a block.
-    pub fn content(&self, name: BlockHash) -> Option<BlockHash> {
-        self.blocks.get(&name).map(|held| held.content)
+    pub fn content_hash(&self, name: BlockHash) -> Option<BlockHash> {
+        self.blocks.get(&name).map(|cached| cached.content)
     }
 
     /// Returns the changes after `after` that are at least `delay` old.
     pub fn events(&self, after: u64, delay: Duration, limit: usize) -> Vec<Event> {
-        let told = self.log.iter().take_while(|l| l.at.elapsed() >= delay);
-        let new = told.map(|l| l.event).filter(|e| e.seq > after);
+        let visible = self.log.iter().take_while(|l| l.at.elapsed() >= delay);
+        let new = visible.map(|l| l.event).filter(|e| e.seq > after);
         new.take(limit).collect()
     }
 
@@ -88,22 +88,22 @@
     }
 
     /// Loses each `every`th change from now on; zero loses none.
-    pub fn lose_every(&mut self, every: u64) {
-        self.lose_every = every;
+    pub fn drop_every_nth(&mut self, every: u64) {
+        self.drop_every_nth = every;
     }
 
     /// Returns how many leading blocks of `chain` are held, and marks them as used.
-    pub fn matched(&mut self, chain: &[Named]) -> usize {
-        let held = |n: &&Named| self.content(n.name) == Some(n.content);
-        let count = chain.iter().take_while(held).count();
+    pub fn match_prefix(&mut self, chain: &[BlockKey]) -> usize {
+        let cached = |n: &&BlockKey| self.content_hash(n.name) == Some(n.content);
+        let count = chain.iter().take_while(cached).count();
         self.touch(&chain[..count]);
         count
     }
 
     /// Returns the number of the newest change that is at least `delay` old.
-    pub fn newest(&self, delay: Duration) -> u64 {
-        let told = self.log.iter().take_while(|l| l.at.elapsed() >= delay);
-        told.last().map_or(0, |l| l.event.seq)
+    pub fn newest_seq(&self, delay: Duration) -> u64 {
+        let visible = self.log.iter().take_while(|l| l.at.elapsed() >= delay);
+        visible.last().map_or(0, |l| l.event.seq)
     }
 
     /// Returns the number of the last change.
@@ -113,25 +113,25 @@
 
     /// Lists the blocks, parents before children.
     pub fn snapshot(&self) -> Vec<Entry> {
-        let mut held: Vec<_> = self.blocks.iter().collect();
-        held.sort_by_key(|(name, _)| (self.depth(**name), **name));
-        let entry = |(name, held): (&BlockHash, &Held)| Entry {
+        let mut cached: Vec<_> = self.blocks.iter().collect();
+        cached.sort_by_key(|(name, _)| (self.depth(**name), **name));
+        let entry = |(name, cached): (&BlockHash, &CachedBlock)| Entry {
             block: *name,
-            parent: held.parent,
+            parent: cached.parent,
         };
-        held.into_iter().map(entry).collect()
+        cached.into_iter().map(entry).collect()
     }
 
     /// Stores the last block of `chain`.
-    pub fn store(&mut self, chain: &[Named]) {
+    pub fn store(&mut self, chain: &[BlockKey]) {
         let Some(last) = chain.last() else { return };
         let parent = chain.len().checked_sub(2).map(|i| chain[i].name);
-        let held = Held {
+        let cached = CachedBlock {
             content: last.content,
             parent,
-            used: 0,
+            last_use: 0,
         };
-        if self.blocks.insert(last.name, held).is_none() {
+        if self.blocks.insert(last.name, cached).is_none() {
             self.append(Change::Stored, Some(last.name), parent);
         }
         self.touch(chain);
@@ -142,7 +142,7 @@
 
     fn append(&mut self, change: Change, block: Option<BlockHash>, parent: Option<BlockHash>) {
         self.seq += 1;
-        if self.lose_every > 0 && self.seq.is_multiple_of(self.lose_every) {
+        if self.drop_every_nth > 0 && self.seq.is_multiple_of(self.drop_every_nth) {
             return;
         }
         let event = Event {
@@ -152,31 +152,31 @@
             seq: self.seq,
         };
         let at = Instant::now();
-        self.log.push_back(Logged { at, event });
-        while self.log.len() > self.retained {
+        self.log.push_back(LogEntry { at, event });
+        while self.log.len() > self.max_events {
             self.log.pop_front();
         }
     }
 
     fn depth(&self, name: BlockHash) -> usize {
-        let parent = |name: &BlockHash| self.blocks.get(name).and_then(|held| held.parent);
+        let parent = |name: &BlockHash| self.blocks.get(name).and_then(|cached| cached.parent);
         std::iter::successors(parent(&name), parent).count()
     }
 
     fn evict(&mut self) {
-        let oldest = self.blocks.iter().min_by_key(|(_, held)| held.used);
+        let oldest = self.blocks.iter().min_by_key(|(_, cached)| cached.last_use);
         let Some(name) = oldest.map(|(name, _)| *name) else {
             return;
         };
-        let held = self.blocks.remove(&name);
-        self.append(Change::Evicted, Some(name), held.and_then(|h| h.parent));
+        let cached = self.blocks.remove(&name);
+        self.append(Change::Evicted, Some(name), cached.and_then(|h| h.parent));
     }
 
-    fn touch(&mut self, chain: &[Named]) {
+    fn touch(&mut self, chain: &[BlockKey]) {
         for named in chain.iter().rev() {
             self.clock += 1;
-            if let Some(held) = self.blocks.get_mut(&named.name) {
-                held.used = self.clock;
+            if let Some(cached) = self.blocks.get_mut(&named.name) {
+                cached.last_use = self.clock;
             }
         }
     }
--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -93,13 +93,13 @@
         Case {
             ended: false,
             error: Some("idle"),
-            fault: |f| f.silent_at = Some(2),
+            fault: |f| f.stall_at = Some(2),
             offsets: &[0, 1],
         },
         Case {
             ended: false,
             error: None,
-            fault: |f| f.no_end = true,
+            fault: |f| f.omit_end = true,
             offsets: &[0, 1, 2, 3, 4, 5, 6, 7],
         },
         Case {
@@ -117,7 +117,7 @@
     ];
     for case in cases {
         let (engine, client) = engine(|_| {}).await;
-        engine.fault(case.fault);
+        engine.update_faults(case.fault);
         let (read, error) = read(&client, &request("w", PROMPT)).await;
         let name = error.map(|error| match error {
             Error::Disconnected { .. } => "cut",
@@ -132,7 +132,7 @@
 #[tokio::test]
 async fn a_crossed_answer_names_another_attempt() {
     let (engine, client) = engine(|_| {}).await;
-    engine.fault(|f| f.wrong_id = true);
+    engine.update_faults(|f| f.wrong_id = true);
     let (read, _) = read(&client, &request("w", PROMPT)).await;
     assert!(read.ids.iter().all(|id| id == "not-a-1"), "{:?}", read.ids);
 }
@@ -144,7 +144,7 @@
     let mut foreign = request("w", PROMPT);
     foreign.cache.salt = "x".to_owned();
     read(&client, &foreign).await;
-    assert_eq!(engine.counts().prefilled, 4);
+    assert_eq!(engine.counts().prefilled_blocks, 4);
 }
 
 #[tokio::test]
@@ -162,7 +162,7 @@
 
 #[tokio::test]
 async fn events_name_the_blocks_of_the_prompt_in_order() {
-    let (_engine, client) = engine(|o| o.blocks = 2).await;
+    let (_engine, client) = engine(|o| o.cache_blocks = 2).await;
     let prompt = "0123456789abcdef".repeat(3);
     let request = request("w", &prompt);
     read(&client, &request).await;
@@ -189,7 +189,7 @@
 #[tokio::test]
 async fn lost_events_leave_a_gap_in_the_numbers() {
     let (engine, client) = engine(|_| {}).await;
-    engine.fault(|f| f.lose_every = 2);
+    engine.update_faults(|f| f.drop_every_nth = 2);
     let prompt = "0123456789abcdef".repeat(3);
     read(&client, &request("w", &prompt)).await;
     let events = client.events(0).await.unwrap();
@@ -215,7 +215,7 @@
 #[tokio::test]
 async fn a_poisonous_prompt_crashes_the_engine_each_time() {
     let (engine, client) = engine(|_| {}).await;
-    engine.fault(|f| f.poison = Some("0123".to_owned()));
+    engine.update_faults(|f| f.poison = Some("0123".to_owned()));
     let error = read(&client, &request("w", PROMPT)).await.1;
     assert_matches!(error, Some(Error::Disconnected { .. }));
     assert_eq!(engine.counts().crashes, 1);
@@ -262,13 +262,13 @@
 async fn a_load_report_lags() {
     let (engine, client) = engine(|o| o.token_time = Duration::from_millis(200)).await;
     client.load().await.unwrap();
-    engine.fault(|f| f.load_lag = Duration::from_secs(60));
+    engine.update_faults(|f| f.load_report_delay = Duration::from_secs(60));
     let request = request("w", PROMPT);
     let mut stream = client.complete(&request, None).await.unwrap();
     stream.next().await.unwrap();
     let load = client.load().await.unwrap();
     assert_eq!((load.running, load.age_ms), (0, 60_000));
-    engine.fault(|f| f.load_lag = Duration::ZERO);
+    engine.update_faults(|f| f.load_report_delay = Duration::ZERO);
     let load = client.load().await.unwrap();
     assert_eq!((load.running, load.age_ms), (1, 0));
 }
@@ -301,7 +301,7 @@
         order.push(done.unwrap());
     }
     assert_eq!(order, [0, 1]);
-    assert_eq!(engine.counts().started, 3);
+    assert_eq!(engine.counts().started_prompts, 3);
 }
 
 #[tokio::test]
@@ -326,14 +326,14 @@
 #[tokio::test]
 async fn a_frozen_engine_sends_nothing_and_goes_on_later() {
     let (engine, client) = engine(|_| {}).await;
-    engine.freeze(true);
+    engine.set_frozen(true);
     let hasty = Limits {
         head_timeout: Duration::from_millis(50),
         ..limits()
     };
     let frozen = Client::new(engine.address(), hasty).load().await;
     assert_matches!(frozen, Err(Error::Idle { .. }));
-    engine.freeze(false);
+    engine.set_frozen(false);
     assert!(client.load().await.is_ok());
 }
 
--- a/crates/fakes/tests/stores.rs
+++ b/crates/fakes/tests/stores.rs
@@ -36,7 +36,7 @@
     assert_eq!(source.export(&transfer).await.unwrap(), moved);
     assert_eq!(target.import(&transfer).await.unwrap(), moved);
     read(&target, &request).await;
-    assert_eq!(second.counts().prefilled, 0);
+    assert_eq!(second.counts().prefilled_blocks, 0);
 }
 
 #[tokio::test]
@@ -85,7 +85,7 @@
     let mut foreign = own.clone();
     foreign.cache.salt = "x".to_owned();
     read(&client, &foreign).await;
-    assert_eq!(engine.counts().prefilled, 4);
+    assert_eq!(engine.counts().prefilled_blocks, 4);
 }
 
 #[tokio::test]
--- a/crates/hibiscushoist/src/demo.rs
+++ b/crates/hibiscushoist/src/demo.rs
@@ -77,7 +77,7 @@
     async fn broken_stream_is_resumed(&mut self) -> Result<(), Report<Error>> {
         self.title("A stream breaks and is resumed")?;
         for engine in &self.bench.engines {
-            engine.fault(|faults| faults.cut_at = Some(10));
+            engine.update_faults(|faults| faults.cut_at = Some(10));
         }
         let prompt = text("print run", 2);
         let reply = self.bench.complete(MAPS, &prompt, 40).await?;
@@ -104,12 +104,12 @@
         let receipt = self.bench.leave("u1").await?;
         let note = format!("u1 is leaving since revision {}", receipt.revision);
         self.tell(&note)?;
-        let before = self.bench.engines[0].counts().started;
+        let before = self.bench.engines[0].counts().started_prompts;
         for probe in 0..PROBES {
             let prompt = text(&format!("probe {probe}"), 1);
             self.bench.complete(STORES, &prompt, 2).await?;
         }
-        let after = self.bench.engines[0].counts().started;
+        let after = self.bench.engines[0].counts().started_prompts;
         self.expect("u1 gets none of twelve new requests", 0, after - before)
     }
 
--- a/crates/hibiscushoist/src/demo_bench.rs
+++ b/crates/hibiscushoist/src/demo_bench.rs
@@ -173,7 +173,7 @@
     /// Returns how many blocks the engines have computed.
     pub fn prefilled(&self) -> u64 {
         let counts = self.engines.iter().map(Engine::counts);
-        counts.map(|counts| counts.prefilled).sum()
+        counts.map(|counts| counts.prefilled_blocks).sum()
     }
 
     async fn add(
--- a/crates/hibiscushoistd/examples/entry_slope.rs
+++ b/crates/hibiscushoistd/examples/entry_slope.rs
@@ -212,7 +212,7 @@
     let mut engines = Vec::new();
     for _ in 0..count {
         let options = Options {
-            blocks: 100_000,
+            cache_blocks: 100_000,
             prefill_time: Duration::ZERO,
             slots: SLOTS,
             token_time: TOKEN_TIME,
--- a/crates/hibiscushoistd/tests/brokers.rs
+++ b/crates/hibiscushoistd/tests/brokers.rs
@@ -70,12 +70,14 @@
 
     fn started(&self) -> Vec<u64> {
         let engines = self.engines.iter();
-        engines.map(|engine| engine.counts().started).collect()
+        engines
+            .map(|engine| engine.counts().started_prompts)
+            .collect()
     }
 
     fn prefilled(&self) -> u64 {
         let engines = self.engines.iter();
-        engines.map(|engine| engine.counts().prefilled).sum()
+        engines.map(|engine| engine.counts().prefilled_blocks).sum()
     }
 
     /// Waits until exactly one host follows the engines, and returns its place.
--- a/crates/hibiscushoistd/tests/fleet.rs
+++ b/crates/hibiscushoistd/tests/fleet.rs
@@ -248,7 +248,7 @@
         bench
             .engines
             .iter()
-            .filter(|e| e.standing().version == "v2")
+            .filter(|e| e.state().version == "v2")
             .count()
     };
     while loads(&bench) == 0 {
--- a/crates/hibiscushoistd/tests/imports.rs
+++ b/crates/hibiscushoistd/tests/imports.rs
@@ -125,7 +125,7 @@
     let bench = Bench::start().await;
     bench.import("s").await;
     bench.complete(&bench.target).await;
-    assert_eq!(bench.target.counts().prefilled, 0);
+    assert_eq!(bench.target.counts().prefilled_blocks, 0);
 }
 
 #[tokio::test]
@@ -146,7 +146,7 @@
     bench.source.crash();
     bench.import("k").await;
     bench.complete(&bench.target).await;
-    assert_eq!(bench.target.counts().prefilled, 0);
+    assert_eq!(bench.target.counts().prefilled_blocks, 0);
 }
 
 #[tokio::test]
@@ -155,5 +155,5 @@
     bench.store.stop();
     bench.import("s").await;
     bench.complete(&bench.target).await;
-    assert_eq!(bench.target.counts().prefilled, 2);
+    assert_eq!(bench.target.counts().prefilled_blocks, 2);
 }
--- a/crates/hibiscushoistd/tests/leaving.rs
+++ b/crates/hibiscushoistd/tests/leaving.rs
@@ -53,10 +53,10 @@
 async fn until_unused(bench: &Bench, calm: usize) {
     let mut row = 0;
     while row < calm {
-        let before = bench.engines[0].counts().started;
+        let before = bench.engines[0].counts().started_prompts;
         let posts = (0..8).map(|number| post(bench, number, 2));
         futures::future::join_all(posts).await;
-        let unused = bench.engines[0].counts().started == before;
+        let unused = bench.engines[0].counts().started_prompts == before;
         row = if unused { row + 1 } else { 0 };
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -67,7 +67,7 @@
     let (bench, platform) = bench().await;
     let streams = (0..8).map(|number| post(&bench, number, TOKENS));
     let leave = async {
-        while bench.engines[0].counts().started == 0 {
+        while bench.engines[0].counts().started_prompts == 0 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         platform.set_host(host(1), Some(Standing::Leaving));
@@ -82,9 +82,9 @@
         assert_eq!(response.streamed(), (whole, true));
     }
     platform.set_host(host(1), Some(Standing::Live));
-    let used = bench.engines[0].counts().started;
+    let used = bench.engines[0].counts().started_prompts;
     let back = async {
-        while bench.engines[0].counts().started == used {
+        while bench.engines[0].counts().started_prompts == used {
             futures::future::join_all((0..8).map(|number| post(&bench, number, 2))).await;
         }
     };
--- a/crates/hibiscushoistd/tests/limits.rs
+++ b/crates/hibiscushoistd/tests/limits.rs
@@ -192,7 +192,7 @@
         stalled.push(stream);
     }
     let stopped = async {
-        while bench.engines[0].counts().stopped < 2 {
+        while bench.engines[0].counts().stopped_attempts < 2 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
--- a/crates/hibiscushoistd/tests/poison.rs
+++ b/crates/hibiscushoistd/tests/poison.rs
@@ -26,7 +26,7 @@
     let add = |test: Test, _| test.engine(Options::default());
     let bench = (0..engines).fold(Test::new(), add).start().await;
     for engine in &bench.engines {
-        engine.fault(|f| f.poison = Some("poison".to_owned()));
+        engine.update_faults(|f| f.poison = Some("poison".to_owned()));
     }
     bench
 }
@@ -117,7 +117,7 @@
         };
         for _ in 0..engines {
             let engine = Engine::start(Options::default()).await.unwrap();
-            engine.fault(|f| f.poison = Some("poison".to_owned()));
+            engine.update_faults(|f| f.poison = Some("poison".to_owned()));
             fleet.engines.push(engine);
         }
         for i in 0..hosts {
--- a/crates/hibiscushoistd/tests/processes/load.rs
+++ b/crates/hibiscushoistd/tests/processes/load.rs
@@ -238,7 +238,7 @@
         text += piece["choices"][0]["text"].as_str().unwrap_or_default();
     }
     let versions = ["v1", "v2"];
-    let answer = |version| engine::answer("m", version, prompt, 0, tokens);
+    let answer = |version| engine::answer_text("m", version, prompt, 0, tokens);
     let right = versions
         .into_iter()
         .map(answer)
--- a/crates/hibiscushoistd/tests/streams.rs
+++ b/crates/hibiscushoistd/tests/streams.rs
@@ -72,7 +72,7 @@
             outcomes: &[("gap", 0), ("done", 6)],
         },
         Case {
-            fault: |f| f.silent_at = Some(5),
+            fault: |f| f.stall_at = Some(5),
             outcomes: &[("idle", 0), ("idle", 5), ("done", 5)],
         },
         Case {
@@ -83,7 +83,7 @@
     for case in cases {
         let bench = bench(2).await;
         for engine in &bench.engines {
-            engine.fault(case.fault);
+            engine.update_faults(case.fault);
         }
         let response = post(&bench).await;
         let whole = bench.engines[0].text("cove", 0, TOKENS);
@@ -98,7 +98,7 @@
 async fn a_crossed_answer_reaches_nobody() {
     let bench = bench(2).await;
     for engine in &bench.engines {
-        engine.fault(|f| f.wrong_id = true);
+        engine.update_faults(|f| f.wrong_id = true);
     }
     let response = post(&bench).await;
     assert_eq!(response.status, 502, "{:?}", response.body);
@@ -127,7 +127,7 @@
 async fn an_answer_without_an_end_mark_shows_as_cut() {
     let bench = bench(2).await;
     for engine in &bench.engines {
-        engine.fault(|f| f.no_end = true);
+        engine.update_faults(|f| f.omit_end = true);
     }
     let response = post(&bench).await;
     let body = String::from_utf8_lossy(&response.body).into_owned();
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn an_answer_is_never_continued_with_other_weights() {
     let mut bench = bench(1).await;
-    bench.engines[0].fault(|f| f.cut_at = Some(5));
+    bench.engines[0].update_faults(|f| f.cut_at = Some(5));
     let version = "v2".to_owned();
     let options = Options {
         version,
@@ -170,7 +170,7 @@
     response.body_mut().frame().await.unwrap().unwrap();
     drop(response);
     let stopped = async {
-        while bench.engines[0].counts().stopped == 0 {
+        while bench.engines[0].counts().stopped_attempts == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
@@ -195,9 +195,9 @@
     };
     tokio::select! {
         _ = post(&bench) => panic!("the answer takes longer"),
-        started = count(|c| c.started) => started.expect("the run starts"),
+        started = count(|c| c.started_prompts) => started.expect("the run starts"),
     }
-    count(|c| c.stopped).await.expect("the run stops");
+    count(|c| c.stopped_attempts).await.expect("the run stops");
 }
 
 #[tokio::test]
@@ -226,7 +226,7 @@
 async fn many_answers_at_once_are_never_crossed() {
     let bench = bench(2).await;
     for round in 0..4 {
-        bench.engines[round % 2].fault(|f| f.cut_at = Some(3));
+        bench.engines[round % 2].update_faults(|f| f.cut_at = Some(3));
         let asks = (0..12).map(|i| {
             let prompt = format!("cove {round} {i}");
             let ask = json!({"max_tokens": 8, "model": "m", "prompt": prompt, "stream": true});
