--- a/crates/transport/src/event.rs
+++ b/crates/transport/src/event.rs
@@ -1,135 +1,135 @@
-//! Numbered events, the only things that are logged.
+//! The numbered events, which are all that the daemon logs.
 
 use slog::Level;
 use slog::Logger;
 use strum::Display;
 use strum::EnumIter;
 
-/// Names what happened; the number never changes once given out.
+/// A kind of event. Its number is part of the log format and never changes.
 #[derive(Clone, Copy, Debug, Display, EnumIter, Eq, Hash, PartialEq)]
 #[repr(u16)]
 #[strum(serialize_all = "snake_case")]
 pub enum Event {
-    /// Logs that the daemon started to serve.
+    /// The daemon started to serve.
     Started = 100,
-    /// Logs that the daemon began to drain.
+    /// The daemon began to drain.
     DrainBegun = 101,
-    /// Logs that the daemon ends after its last request.
+    /// The daemon stops after its last request.
     Stopped = 102,
-    /// Logs that the daemon ends before its last request because the drain limit has passed.
+    /// The daemon stops before its last request ended, because the drain limit has passed.
     DrainLimitPassed = 103,
-    /// Logs that changed settings are in force.
+    /// Changed settings are in force.
     SettingsReloaded = 104,
-    /// Logs that changed settings have a fault and that those before stay in force.
+    /// Changed settings are not valid, and the previous ones stay in force.
     SettingsRefused = 105,
-    /// Logs that a caller's connection ended with an error.
+    /// A caller's connection ended with an error.
     ConnectionFailed = 110,
-    /// Logs that no more connections are accepted for now.
+    /// The connection limit is reached, so no connections are accepted for now.
     ConnectionLimit = 111,
-    /// Logs that a request was refused.
+    /// A request was refused.
     RequestRefused = 120,
-    /// Logs that an attempt at a routed request failed.
+    /// An attempt at a routed request failed.
     AttemptFailed = 121,
-    /// Logs that no upstream takes a routed request.
+    /// No upstream is available for a routed request.
     RoutedRefused = 122,
-    /// Logs that a routed request was refused because the host's table may be out of date.
+    /// A routed request was refused because the host's table may be out of date.
     OutlookStale = 123,
-    /// Logs that a routed stream broke off, and whether it goes on at another upstream.
+    /// A routed stream failed; the details say whether it is resumed at another upstream.
     StreamBroken = 124,
-    /// Logs how the answer to a routed request ended, and by what its upstream was chosen.
+    /// The answer to a routed request ended; the details say how, and how its upstream was chosen.
     RequestAnswered = 125,
-    /// Logs that an accepted edit is in force here.
+    /// An accepted edit is in force on this host.
     TableApplied = 200,
-    /// Logs that an edit was refused.
+    /// An edit was refused.
     EditRefused = 201,
-    /// Logs that the table could not be saved for the next start.
+    /// The table could not be saved for the next start.
     TableNotSaved = 202,
-    /// Logs that a routed table is in force here.
+    /// A routed table is in force on this host.
     RoutesApplied = 203,
-    /// Logs that a routed table was accepted, or that one as new was in force.
+    /// A routed table was accepted, or a table at least as new was already in force.
     RoutesAccepted = 204,
-    /// Logs that a routed table was refused.
+    /// A routed table was refused.
     RoutesRefused = 205,
-    /// Logs that the voters did not answer for a routed table.
+    /// The voters did not answer a request about a routed table.
     RoutesUnanswered = 206,
-    /// Logs that new weights were named.
+    /// The newest weights version of a model was set.
     WeightsNamed = 207,
-    /// Logs that the voter's data folder was opened.
+    /// The voter's data folder was opened.
     VoterStarted = 210,
-    /// Logs that this voter leads from now on.
+    /// This voter became the leader.
     LeadershipGained = 211,
-    /// Logs that this voter no longer leads.
+    /// This voter is no longer the leader.
     LeadershipLost = 212,
-    /// Logs that the voters and learners have changed.
+    /// The voters and learners have changed.
     VotersChanged = 213,
-    /// Logs that an unfinished write at the end of the log was dropped.
+    /// An incomplete write at the end of the log was dropped.
     LogTorn = 214,
-    /// Logs that the disk is full and that the write is tried again.
+    /// The disk is full, and the write is retried.
     DiskFull = 215,
-    /// Logs that the disk failed and that this voter stops until the next start.
+    /// The disk failed, and this voter stops until the next start.
     DiskFailed = 216,
-    /// Logs that a host's voter belongs to another group and is left alone.
+    /// A host's voter belongs to another group and is ignored.
     VoterForeign = 217,
-    /// Logs that a host was seen for the first time or again.
+    /// A host was seen for the first time, or again after it was gone.
     HostJoined = 300,
-    /// Logs that a host runs a new process.
+    /// A host runs a new process.
     HostRestarted = 301,
-    /// Logs that a host does not answer.
+    /// A host does not answer.
     HostSuspected = 302,
-    /// Logs that a suspected host answers again.
+    /// A suspected host answers again.
     HostCleared = 303,
-    /// Logs that a host is held to be dead.
+    /// A host is considered dead.
     HostDied = 304,
-    /// Logs that a host wants no new work.
+    /// A host accepts no new work.
     HostDraining = 305,
-    /// Logs that a host ended as it should.
+    /// A host shut down gracefully.
     HostLeft = 306,
-    /// Logs that the load class of a host changed.
+    /// The load class of a host changed.
     HostLoaded = 307,
-    /// Logs that a host answers others but not this one.
+    /// A host answers others but not this host.
     LinkCut = 310,
-    /// Logs that a host answers this one again.
+    /// A host answers this host again.
     LinkMended = 311,
-    /// Logs that this host hears from nobody.
+    /// This host receives messages from no other host.
     Isolated = 312,
-    /// Logs that this host hears from others again.
+    /// This host receives messages from other hosts again.
     Reunited = 313,
-    /// Logs that this process stood still.
+    /// This process was stopped for a while.
     Paused = 314,
-    /// Logs that another host uses the name of this one.
+    /// Another host uses the name of this host.
     NameTaken = 315,
-    /// Logs that a daemon was refused.
+    /// A connection of another daemon was refused.
     PeerRefused = 316,
-    /// Logs that the owner of upstreams cannot be asked and that this host places requests itself.
+    /// The owner of upstreams is unreachable, so this host places requests itself.
     OwnerAway = 317,
-    /// Logs that the list of upstreams could not be read.
+    /// The list of upstreams could not be read.
     ListFailed = 318,
-    /// Logs that the upstreams that hosts are told have changed.
+    /// The upstreams that are sent to the hosts have changed.
     FleetChanged = 319,
-    /// Logs that an engine was given an order.
+    /// An order was sent to an engine.
     RolloutOrdered = 320,
-    /// Logs that an engine serves what the table asks for.
+    /// An engine serves what the table requires.
     RolloutDone = 321,
-    /// Logs that an engine cannot be moved without leaving too few that serve its model.
+    /// An engine cannot be changed without leaving too few that serve its model.
     RolloutBlocked = 322,
-    /// Logs that an engine refused an order several times.
+    /// An engine refused an order several times.
     RolloutRefused = 323,
-    /// Logs that an engine loads for far too long.
+    /// An engine takes far too long to load.
     RolloutStuck = 324,
-    /// Logs that this host no longer controls roll-outs.
+    /// This host no longer controls roll-outs.
     RolloutLost = 325,
-    /// Logs how an engine answered the order to load newer weights.
+    /// An engine answered the order to load newer weights; the details say how.
     ReloadOrdered = 326,
-    /// Logs that a voter did not tell what this host lacks.
+    /// A voter did not answer the request for a routing update.
     OutlookFailed = 327,
-    /// Logs that an engine has the weights that it was ordered to load.
+    /// An engine has loaded the weights that it was ordered to load.
     ReloadDone = 328,
-    /// Logs that the leading host did not choose the engine of a long prompt.
+    /// The leading host did not choose an engine for a long prompt.
     AssignFailed = 329,
 }
 
 impl Event {
-    /// Returns the severity of the event.
+    /// Returns the log level of the event.
     pub fn level(self) -> Level {
         match self {
             Self::AttemptFailed
@@ -192,13 +192,13 @@
         }
     }
 
-    /// Returns the number of the event.
+    /// Returns the number under which the event is logged.
     pub fn number(self) -> u16 {
         self as u16
     }
 }
 
-/// Logs `event` with `details`.
+/// Logs `event` with its number and `details`.
 pub fn emit(log: &Logger, event: Event, details: impl slog::KV) {
     let number = event.number();
     match event.level() {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! Moves bytes: HTTP, peer connections, files, clocks, threads and channels.
+//! Input and output: HTTP, peer connections, files, clocks, threads, channels, logs and metrics.
 
 pub mod channel;
 pub mod clock;
