--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of this process.
+//! The monotonic clock of the process, and wall-clock time for logs.
 
 use std::time;
 
@@ -7,10 +7,10 @@
 
 use state::time::Instant;
 
-/// Reads a monotonic clock as milliseconds since the clock was made.
+/// A monotonic clock, in milliseconds since the clock was created.
 ///
-/// The clock goes on while the machine is suspended, so that a lease does not look younger than it
-/// is to a process that stood still.
+/// The clock includes the time for which the machine was suspended. Otherwise a lease would seem
+/// younger than it is to a process that was stopped.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: u64,
@@ -19,20 +19,20 @@
 impl Default for Clock {
     fn default() -> Self {
         Self {
-            origin: boot_millis(),
+            origin: boot_time_ms(),
         }
     }
 }
 
 impl Clock {
-    /// Returns the present point in time.
+    /// Returns the current time of this clock.
     pub fn now(&self) -> Instant {
-        Instant(boot_millis().saturating_sub(self.origin))
+        Instant(boot_time_ms().saturating_sub(self.origin))
     }
 }
 
-/// Returns the milliseconds since the machine was started, suspended or not.
-fn boot_millis() -> u64 {
+/// Returns the milliseconds since the machine was started, including suspended time.
+fn boot_time_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanos = u64::try_from(time.tv_nsec).unwrap_or_default();
@@ -40,6 +40,8 @@
 }
 
 /// Returns the milliseconds since the Unix epoch, for people and logs only.
+///
+/// This time may jump.
 pub fn wall_millis() -> u64 {
     let elapsed = time::SystemTime::now()
         .duration_since(time::UNIX_EPOCH)
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP: an accept loop with limits around a gotham router, and a graceful end.
+//! The HTTP server: an accept loop with limits around a gotham router, and a graceful shutdown.
 
 use std::convert::Infallible;
 use std::io;
@@ -34,41 +34,42 @@
 use crate::event::Event;
 use crate::write_timeout::WriteTimeoutStream;
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, so that the loop does not spin while accepts keep failing.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Carries the bytes of a response.
+/// Body of a response, which may be a stream.
 pub type Body = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, io::Error>;
 
-/// Bounds what one listener accepts.
+/// Limits on the connections and requests of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bounds the open connections.
+    /// Connections that may be open at the same time.
     pub connections: usize,
-    /// Bounds the bytes of a request's header.
+    /// Size limit of a request's header, in bytes.
     pub header_bytes: usize,
-    /// Bounds the time in which a request's header must arrive.
+    /// Time limit for the arrival of a request's header.
     pub header_timeout: Duration,
-    /// Bounds the time for which a caller may take nothing of an answer.
+    /// Longest time for which the write of a response may make no progress.
     pub write_timeout: Duration,
 }
 
-/// Puts what handlers share into the state of each request.
+/// A function that puts the values shared by all handlers into the state of a request.
 pub type Prepare = Arc<dyn Fn(&mut State) + Send + Sync>;
 
-/// Accepts connections and hands each request to a handler.
+/// A server that accepts connections and passes each request to a handler.
 pub struct Server<H> {
-    /// Answers each request.
+    /// Handler of the requests, usually a router.
     pub handler: H,
-    /// Bounds what is accepted.
+    /// Limits on connections and requests.
     pub limits: Limits,
-    /// Receives events.
+    /// Logger of the events.
     pub log: Logger,
-    /// Puts shared values into each request's state.
+    /// Function that prepares the state of each request.
     pub prepare: Prepare,
 }
 
 impl<H: NewHandler + Clone + 'static> Server<H> {
-    /// Serves `listener` until `stop` turns true, then until the last open request has ended.
+    /// Serves `listener` until `stop` turns true, and returns when the open requests have ended.
     pub async fn run(self, listener: TcpListener, mut stop: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let graceful = GracefulShutdown::new();
@@ -79,7 +80,7 @@
                 _ = stop.changed() => break,
             };
             let Some((stream, peer, permit)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             server.clone().spawn(stream, peer, permit, &graceful);
@@ -120,9 +121,9 @@
         let service = service_fn(move |request| server.clone().handle(request, peer));
         let stream = WriteTimeoutStream::new(stream, self.limits.write_timeout);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
-        let watched = graceful.watch(connection.into_owned());
+        let served = graceful.watch(connection.into_owned());
         tokio::spawn(async move {
-            if let Err(error) = watched.await {
+            if let Err(error) = served.await {
                 let details = slog::o!("peer" => peer.to_string(), "error" => error.to_string());
                 event::emit(&self.log, Event::ConnectionFailed, details);
             }
@@ -142,35 +143,35 @@
         (self.prepare)(&mut state);
         let handler = Arc::new(self.handler.clone());
         let answer = call_handler(handler, AssertUnwindSafe(state)).await;
-        Ok(answer.unwrap_or_else(|_| empty(StatusCode::INTERNAL_SERVER_ERROR)))
+        Ok(answer.unwrap_or_else(|_| empty_response(StatusCode::INTERNAL_SERVER_ERROR)))
     }
 }
 
-/// Counts the bytes of a request's header as HTTP/1 writes it.
+/// Returns the size of a request's header in its HTTP/1 encoding, in bytes.
 ///
-/// The library bounds its buffer, into which a whole read may go beyond the bound.
+/// hyper limits only its read buffer, and a single read may exceed that limit.
 fn header_bytes(request: &Request<Incoming>) -> usize {
     let uri = request.uri();
     let authority = uri.authority().map_or(0, |authority| {
         uri.scheme_str().map_or(0, str::len) + "://".len() + authority.as_str().len()
     });
     let target = authority + uri.path_and_query().map_or(0, |path| path.as_str().len());
-    let line = request.method().as_str().len() + target + "  HTTP/1.1\r\n\r\n".len();
+    let request_line = request.method().as_str().len() + target + "  HTTP/1.1\r\n\r\n".len();
     let fields = request.headers().iter();
-    let field = |(name, value): (&HeaderName, &HeaderValue)| {
+    let field_bytes = |(name, value): (&HeaderName, &HeaderValue)| {
         name.as_str().len() + value.len() + ": \r\n".len()
     };
-    line + fields.map(field).sum::<usize>()
+    request_line + fields.map(field_bytes).sum::<usize>()
 }
 
 fn header_too_large() -> Response<Body> {
-    let mut response = empty(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+    let mut response = empty_response(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn empty(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::default());
     *response.status_mut() = status;
     response
--- a/crates/transport/src/log.rs
+++ b/crates/transport/src/log.rs
@@ -1,4 +1,4 @@
-//! The root logger of a process.
+//! Construction of the root logger.
 
 use std::io;
 
@@ -9,15 +9,16 @@
 use strum::EnumIter;
 use strum::EnumString;
 
+/// Log records that may wait for the thread that writes them.
 const CHANNEL_RECORDS: usize = 4096;
 
-/// Names a form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Format {
-    /// Writes lines for people.
+    /// Plain text for people.
     Human,
-    /// Writes one JSON object a line.
+    /// One JSON object on each line.
     Json,
 }
 
@@ -26,22 +27,23 @@
     Logger::root(slog::Discard, slog::o!())
 }
 
-/// Returns a logger that writes records of `level` and above to the standard output stream.
-pub fn root(form: Format, level: Level) -> Logger {
-    match form {
+/// Returns a logger that writes records of `level` and above to standard output.
+pub fn root(format: Format, level: Level) -> Logger {
+    match format {
         Format::Human => {
             let decorator = slog_term::PlainDecorator::new(io::stdout());
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
-            attach(drain, level)
+            with_drain(drain, level)
         }
         Format::Json => {
             let drain = slog_json::Json::default(io::stdout()).fuse();
-            attach(drain, level)
+            with_drain(drain, level)
         }
     }
 }
 
-fn attach<D>(drain: D, level: Level) -> Logger
+/// Returns a logger that writes to `drain` in another thread.
+fn with_drain<D>(drain: D, level: Level) -> Logger
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
--- a/crates/transport/src/sse.rs
+++ b/crates/transport/src/sse.rs
@@ -1,33 +1,33 @@
-//! Reads server-sent events out of the bytes of a response.
+//! An incremental decoder of server-sent events.
 
 use std::mem;
 
 use thiserror::Error;
 
-/// Holds what a stream of events tells.
+/// One item of an event stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Item {
-    /// Holds a comment, which only shows that the sender lives.
+    /// A comment, which only shows that the sender is alive.
     Comment,
-    /// Holds the data of one event.
+    /// The data of one event, its lines joined by line feeds.
     Data(String),
 }
 
-/// Tells why bytes are no stream of events.
+/// The reason why bytes are not a valid event stream.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// Reports an event or a line that is too long.
-    #[error("an event is longer than {limit} bytes")]
+    /// An event or a line exceeds the limit.
+    #[error("event exceeds {limit} bytes")]
     EventTooLong {
-        /// Gives the bound, in bytes.
+        /// Size limit, in bytes.
         limit: usize,
     },
-    /// Reports text that is not UTF-8.
-    #[error("an event is not UTF-8")]
+    /// The data of event data is not UTF-8.
+    #[error("event data is not UTF-8")]
     NotUtf8,
 }
 
-/// Collects bytes until an event is whole.
+/// A decoder that buffers bytes until an event is complete.
 #[derive(Clone, Debug)]
 pub struct Decoder {
     data: Option<Vec<u8>>,
@@ -45,32 +45,33 @@
         }
     }
 
-    /// Reads `bytes` and appends what is complete to `items`.
+    /// Decodes `bytes` and appends each complete item to `items`.
     ///
     /// # Errors
     ///
-    /// Returns an error for an event that is too long or not UTF-8; the stream is lost then.
+    /// Returns an error for an event that is too long or not UTF-8. The decoder
+    /// cannot continue after an error.
     pub fn push(&mut self, bytes: &[u8], items: &mut Vec<Item>) -> Result<(), Error> {
         let mut rest = bytes;
         while let Some(end) = rest.iter().position(|b| *b == b'\n') {
-            self.extend(&rest[..end])?;
+            self.extend_line(&rest[..end])?;
             let line = mem::take(&mut self.line);
-            self.finish(&line, items)?;
+            self.finish_line(&line, items)?;
             rest = &rest[end + 1..];
         }
-        self.extend(rest)
+        self.extend_line(rest)
     }
 
-    fn extend(&mut self, bytes: &[u8]) -> Result<(), Error> {
-        let held = self.data.as_ref().map_or(0, Vec::len);
-        if held + self.line.len() + bytes.len() > self.limit {
+    fn extend_line(&mut self, bytes: &[u8]) -> Result<(), Error> {
+        let buffered = self.data.as_ref().map_or(0, Vec::len);
+        if buffered + self.line.len() + bytes.len() > self.limit {
             return Err(Error::EventTooLong { limit: self.limit });
         }
         self.line.extend_from_slice(bytes);
         Ok(())
     }
 
-    fn finish(&mut self, line: &[u8], items: &mut Vec<Item>) -> Result<(), Error> {
+    fn finish_line(&mut self, line: &[u8], items: &mut Vec<Item>) -> Result<(), Error> {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         if line.is_empty() {
             if let Some(data) = self.data.take() {
--- a/crates/transport/src/write_timeout.rs
+++ b/crates/transport/src/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A connection that breaks when the other end takes nothing for too long.
+//! A TCP stream that fails when the peer reads nothing for too long.
 
 use std::future::Future;
 use std::io;
@@ -15,36 +15,38 @@
 use tokio::time::Sleep;
 use tokio::time::sleep;
 
-/// Carries bytes and bounds the time for which a write may make no progress.
+/// A TCP stream with a limit on the time for which a write may make no progress.
 #[derive(Debug)]
 pub struct WriteTimeoutStream {
     limit: Duration,
-    stalled: Option<Pin<Box<Sleep>>>,
+    timer: Option<Pin<Box<Sleep>>>,
     stream: TcpStream,
 }
 
 impl WriteTimeoutStream {
-    /// Returns `stream` with a bound on stalled writes.
+    /// Wraps `stream` so that a write, flush or shutdown fails with
+    /// [`TimedOut`](io::ErrorKind::TimedOut) when it makes no progress for `limit`.
     pub fn new(stream: TcpStream, limit: Duration) -> Self {
         Self {
             limit,
-            stalled: None,
+            timer: None,
             stream,
         }
     }
 
-    fn bound<T>(
+    /// Starts the timer when a write is pending, and fails the write when the timer expires.
+    fn apply_timeout<T>(
         &mut self,
         context: &mut Context<'_>,
-        written: Poll<io::Result<T>>,
+        result: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        if written.is_ready() {
-            self.stalled = None;
-            return written;
+        if result.is_ready() {
+            self.timer = None;
+            return result;
         }
         let limit = self.limit;
-        let stalled = self.stalled.get_or_insert_with(|| Box::pin(sleep(limit)));
-        match stalled.as_mut().poll(context) {
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(limit)));
+        match timer.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
         }
@@ -68,12 +70,12 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.stream).poll_flush(context);
-        self.bound(context, flushed)
+        self.apply_timeout(context, flushed)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let shut = Pin::new(&mut self.stream).poll_shutdown(context);
-        self.bound(context, shut)
+        self.apply_timeout(context, shut)
     }
 
     fn poll_write(
@@ -82,7 +84,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.bound(context, written)
+        self.apply_timeout(context, written)
     }
 
     fn poll_write_vectored(
@@ -91,6 +93,6 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.bound(context, written)
+        self.apply_timeout(context, written)
     }
 }
