--- a/crates/transport/src/disk.rs
+++ b/crates/transport/src/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder of a process, as the few operations that durable state needs.
+//! Durable file operations on the data folder of a process.
 
 use std::fs;
 use std::fs::File;
@@ -10,197 +10,206 @@
 
 use thiserror::Error;
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
-/// Gives access to one folder; tests put faults behind it.
+/// File operations on one folder; tests implement it with injected faults.
 pub trait Disk: Send {
-    /// Appends `bytes` to a file that [`Disk::create`] made.
+    /// Appends `bytes` to an existing file.
     ///
     /// # Errors
     ///
-    /// Returns the system's error; a part of the bytes may have been written.
+    /// Returns the error of the operating system; a part of the bytes may have been written.
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes an empty file, in place of an old one.
+    /// Creates an empty file, replacing an existing one.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     fn create(&mut self, file: &str) -> io::Result<()>;
 
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     fn truncate(&mut self, file: &str, length: u64) -> io::Result<()>;
 
-    /// Lists the files in order of name.
+    /// Lists the names of the files in sorted order, without the lock file.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     fn list(&self) -> io::Result<Vec<String>>;
 
     /// Reads a whole file.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     fn read(&self, file: &str) -> io::Result<Vec<u8>>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     fn remove(&mut self, file: &str) -> io::Result<()>;
 
-    /// Renames a file, in place of an old one.
+    /// Renames a file, replacing an existing one.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Waits until a file's bytes would outlive a loss of power.
+    /// Syncs the content of a file, so that it survives a loss of power.
     ///
     /// # Errors
     ///
-    /// Returns the system's error; the bytes may then be lost although later calls succeed.
+    /// Returns the error of the operating system. After a failed sync the bytes may be lost even if
+    /// later calls succeed.
     fn sync(&mut self, file: &str) -> io::Result<()>;
 
-    /// Waits until the folder's names would outlive a loss of power.
+    /// Syncs the entries of the folder, so that created, renamed and removed files survive a loss
+    /// of power.
     ///
     /// # Errors
     ///
-    /// Returns the system's error.
+    /// Returns the error of the operating system.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// Writes a whole file so that it is either as before or complete, and outlives a loss of power.
+/// Replaces the content of a file atomically and durably.
+///
+/// After a crash or a loss of power the file has either its old or its new content.
 ///
 /// # Errors
 ///
-/// Returns the system's error.
+/// Returns the error of the operating system.
 pub fn replace_atomically(disk: &mut impl Disk, file: &str, bytes: &[u8]) -> io::Result<()> {
     write_draft(disk, file, bytes)?;
     publish(disk, file)
 }
 
-/// Writes the next content of a file beside it.
+/// Writes and syncs the new content of a file under the name of its draft.
 ///
 /// # Errors
 ///
-/// Returns the system's error; the file is as before.
+/// Returns the error of the operating system; the file is unchanged.
 pub fn write_draft(disk: &mut impl Disk, file: &str, bytes: &[u8]) -> io::Result<()> {
-    let draft = draft_of(file);
+    let draft = draft_name(file);
     disk.create(&draft)?;
     disk.append(&draft, bytes)?;
     disk.sync(&draft)
 }
 
-/// Puts the next content of a file in its place.
+/// Renames the draft of a file to the file, and syncs the folder.
 ///
 /// # Errors
 ///
-/// Returns the system's error; the file is either as before or complete.
+/// Returns the error of the operating system; the file has its old or its new content.
 pub fn publish(disk: &mut impl Disk, file: &str) -> io::Result<()> {
-    disk.rename(&draft_of(file), file)?;
+    disk.rename(&draft_name(file), file)?;
     disk.sync_folder()
 }
 
-fn draft_of(file: &str) -> String {
+fn draft_name(file: &str) -> String {
     format!("{file}.draft")
 }
 
-/// Tells why a folder cannot be used.
+/// Reason why a data folder cannot be opened.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Reports an error of the system.
+    /// The folder or its lock file cannot be created or locked.
     #[error("cannot use data folder `{}`: {source}", folder.display())]
     Io {
-        /// Names the folder.
+        /// Path of the folder.
         folder: PathBuf,
-        /// Holds the system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Reports a folder that another process uses.
+    /// Another process uses the folder.
     #[error("data folder `{}` is in use by another process; end that one first", folder.display())]
     Locked {
-        /// Names the folder.
+        /// Path of the folder.
         folder: PathBuf,
     },
 }
 
-/// Holds a folder that no other process can open meanwhile.
+/// Data folder, locked against other processes until it is dropped.
 #[derive(Debug)]
 pub struct Folder {
-    open: Option<(String, File)>,
+    append_handle: Option<(String, File)>,
     path: PathBuf,
     _lock: File,
 }
 
 impl Folder {
-    /// Locks the folder at `path`, which is made where it is missing.
+    /// Locks the folder at `path` and creates it if it is missing.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder cannot be made or another process holds it.
+    /// Returns an error when the folder cannot be created or another process has locked it.
     pub fn open(path: impl Into<PathBuf>) -> Result<Self, Error> {
         let path = path.into();
-        let failed = |source| Error::Io {
+        let io_error = |source| Error::Io {
             folder: path.clone(),
             source,
         };
-        fs::create_dir_all(&path).map_err(failed)?;
+        fs::create_dir_all(&path).map_err(io_error)?;
         let mut options = OpenOptions::new();
         options.create(true).write(true).truncate(false);
-        let lock = options.open(path.join(LOCK)).map_err(failed)?;
+        let lock = options.open(path.join(LOCK_FILE)).map_err(io_error)?;
         match lock.try_lock() {
             Ok(()) => Ok(Self {
-                open: None,
+                append_handle: None,
                 path,
                 _lock: lock,
             }),
-            Err(TryLockError::Error(source)) => Err(failed(source)),
+            Err(TryLockError::Error(source)) => Err(io_error(source)),
             Err(TryLockError::WouldBlock) => Err(Error::Locked { folder: path }),
         }
     }
 
-    fn file(&mut self, file: &str) -> io::Result<&mut File> {
-        if self.open.as_ref().is_none_or(|(name, _)| name != file) {
+    /// Returns the handle that appends to `file`; the last one used stays open.
+    fn append_handle(&mut self, file: &str) -> io::Result<&mut File> {
+        if self
+            .append_handle
+            .as_ref()
+            .is_none_or(|(name, _)| name != file)
+        {
             let opened = OpenOptions::new().append(true).open(self.path.join(file))?;
-            self.open = Some((file.to_owned(), opened));
+            self.append_handle = Some((file.to_owned(), opened));
         }
-        let open = self.open.as_mut().map(|(_, opened)| opened);
-        open.ok_or_else(|| io::ErrorKind::NotFound.into())
+        let handle = self.append_handle.as_mut().map(|(_, opened)| opened);
+        handle.ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    fn forget(&mut self, file: &str) {
-        self.open = self.open.take().filter(|(name, _)| name != file);
+    fn close_handle(&mut self, file: &str) {
+        self.append_handle = self.append_handle.take().filter(|(name, _)| name != file);
     }
 }
 
 impl Disk for Folder {
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(file)?.write_all(bytes)
+        self.append_handle(file)?.write_all(bytes)
     }
 
     fn create(&mut self, file: &str) -> io::Result<()> {
-        self.forget(file);
+        self.close_handle(file);
         File::create(self.path.join(file)).map(drop)
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
-        self.file(file)?.set_len(length)
+        self.append_handle(file)?.set_len(length)
     }
 
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            if name != LOCK {
+            if name != LOCK_FILE {
                 names.push(name);
             }
         }
@@ -213,18 +222,18 @@
     }
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        self.forget(file);
+        self.close_handle(file);
         fs::remove_file(self.path.join(file))
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.forget(from);
-        self.forget(to);
+        self.close_handle(from);
+        self.close_handle(to);
         fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
-        self.file(file)?.sync_all()
+        self.append_handle(file)?.sync_all()
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -136,7 +136,7 @@
 }
 
 #[derive(Clone)]
-struct OpenConnection {
+struct LiveConnection {
     client: PeerClient,
     frame_counter: FrameCounter,
     closed: watch::Receiver<()>,
@@ -144,7 +144,7 @@
     last_used: Arc<Mutex<Instant>>,
 }
 
-impl OpenConnection {
+impl LiveConnection {
     fn is_closed(&self) -> bool {
         self.closed.has_changed().is_err()
     }
@@ -169,16 +169,14 @@
     address: SocketAddr,
     host: Option<String>,
     identity: Arc<Identity>,
-    open_connection: tokio::sync::Mutex<Option<OpenConnection>>,
+    open_connection: tokio::sync::Mutex<Option<LiveConnection>>,
     options: Options,
     permits: Arc<Semaphore>,
 }
 
-impl fmt::Debug for OpenConnection {
+impl fmt::Debug for LiveConnection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("OpenConnection")
-            .field("host", &self.host)
-            .finish()
+        f.debug_struct("Live").field("host", &self.host).finish()
     }
 }
 
@@ -247,7 +245,7 @@
         })
     }
 
-    async fn open_connection(&self) -> Result<OpenConnection, Error> {
+    async fn open_connection(&self) -> Result<LiveConnection, Error> {
         let mut current = self.shared.open_connection.lock().await;
         if let Some(live) = current.as_ref().filter(|live| !live.is_closed()) {
             return Ok(live.clone());
@@ -259,7 +257,7 @@
 }
 
 impl ClientShared {
-    async fn open(&self) -> Result<OpenConnection, Error> {
+    async fn open(&self) -> Result<LiveConnection, Error> {
         let address = self.address;
         let limit = self.options.connect_timeout;
         let connect_error = |source| {
@@ -285,7 +283,7 @@
         let frame_counter = connection.frames.codec().frame_counter();
         let service = PeerClient::new(tarpc::client::Config::default(), connection.frames);
         let (closer, closed) = watch::channel(());
-        let live = OpenConnection {
+        let live = LiveConnection {
             client: service.client,
             frame_counter,
             closed,
@@ -310,7 +308,7 @@
 ///
 /// A connection without calls in flight is pinged only for two heartbeat intervals after its last
 /// use. It counts as unresponsive when a ping fails and no frame arrived meanwhile.
-async fn watch_liveness(live: &OpenConnection, permits: &Semaphore, options: Options) {
+async fn watch_liveness(live: &LiveConnection, permits: &Semaphore, options: Options) {
     let mut received = live.frame_counter.received();
     loop {
         tokio::time::sleep(options.heartbeat_interval).await;
--- a/crates/transport/src/raft_store.rs
+++ b/crates/transport/src/raft_store.rs
@@ -1,9 +1,10 @@
-//! What a voter keeps in its data folder: identity, log and snapshot.
+//! Durable state of a voter of the replicated log: identity, log and snapshot.
 //!
-//! Files come in generations. A generation has one snapshot and a log in segments that starts with
-//! the promises and the entries after the snapshot. A new generation is complete before the name
-//! that makes it count appears, and older ones are removed afterwards. Each start writes one, so
-//! that whatever was read is on the disk for certain, even after a failed sync before.
+//! Files belong to generations. A generation is one snapshot and a log in segments, which starts
+//! with the hard state and the entries after the snapshot. A new generation is written and synced
+//! as drafts; renaming its first log segment makes it valid, and older generations are removed
+//! afterwards. Each start writes a new generation, so that everything it read is certainly on disk,
+//! even if an earlier sync failed.
 
 use std::io;
 
@@ -20,45 +21,48 @@
 use coordination::raft_entry::Recovered;
 use coordination::raft_entry::Snapshot;
 
-const FORMAT: &str = "format";
+const FORMAT_FILE: &str = "format";
 const FORMAT_VERSION: u32 = 1;
-const SEGMENT_BYTES: u64 = 8 << 20;
+/// Size from which the log continues in a new segment.
+const SEGMENT_TARGET_BYTES: u64 = 8 << 20;
 
-/// Tells why the folder cannot be used, or why records are not on the disk.
+/// Reason why a data folder cannot be used, or why records are not durable.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// Reports damage to what was on the disk before; the voter needs a replacement.
+    /// A file that was durable is damaged; the voter must be replaced.
     #[error(
-        "file `{file}` is damaged at byte {place}; replace this voter by one with an empty disk"
+        "file `{file}` is damaged at byte {offset}; replace this voter by one with an empty disk"
     )]
     Damaged {
-        /// Names the file.
+        /// Name of the file.
         file: String,
-        /// Gives the place, in bytes.
-        place: usize,
+        /// Offset of the damage, in bytes.
+        offset: usize,
     },
-    /// Reports records that do not encode.
-    #[error("records do not encode: {0}")]
+    /// The records cannot be encoded.
+    #[error("cannot encode records: {0}")]
     Encode(#[from] postcard::Error),
-    /// Reports a folder with files of something else.
-    #[error("the folder holds `{file}` but no file `{FORMAT}`; give the voter a folder of its own")]
+    /// The folder contains files of another program.
+    #[error(
+        "the folder holds `{file}` but no file `{FORMAT_FILE}`; give the voter a folder of its own"
+    )]
     Foreign {
-        /// Names one of the files.
+        /// Name of one of these files.
         file: String,
     },
-    /// Reports a full disk; nothing of the records counts, and they may be written again.
+    /// The disk is full; none of the records was written, and the write may be repeated.
     #[error("the disk is full")]
     Full,
-    /// Reports another error of the system; nothing may be written until the next start.
+    /// Another error of the operating system; nothing may be written until the next start.
     #[error("the disk failed: {0}")]
     Io(#[from] io::Error),
-    /// Reports that an earlier write or sync failed, after which nothing counts as written.
+    /// An earlier write or sync failed; what is on the disk is unknown until the next start.
     #[error("an earlier write failed; start again to read what is on the disk")]
     Poisoned,
-    /// Reports a format that another version of the program wrote.
+    /// Another version of the program wrote the folder, in another format.
     #[error("the folder has format {found}, this program reads {FORMAT_VERSION}")]
     Version {
-        /// Gives the format found.
+        /// Version of the format in the folder.
         found: u32,
     },
 }
@@ -69,123 +73,128 @@
     version: u32,
 }
 
-/// Tells what a start found.
+/// Summary of what was read when a store was opened.
 #[derive(Debug, Default, Eq, PartialEq)]
 pub struct OpenReport {
-    /// Counts the entries after the snapshot.
+    /// Number of log entries after the snapshot.
     pub entries: usize,
-    /// Tells that an unfinished write at the end of the log was dropped.
+    /// Whether an unfinished write at the end of the log was dropped.
     pub torn_tail: bool,
 }
 
-/// Holds a voter's data folder.
+/// Durable store of a voter's state in its data folder.
 #[derive(Debug)]
 pub struct RaftStore<D> {
     disk: D,
     generation: u64,
     identity: MemberId,
-    kept: Recovered,
-    length: u64,
+    recovered: Recovered,
+    segment_len: u64,
     poisoned: bool,
-    segment: u64,
+    segment_number: u64,
 }
 
 impl<D: Disk> RaftStore<D> {
-    /// Reads the folder; an empty one is given the identity `fresh`.
+    /// Opens the folder and reads its state; an empty folder gets the identity `new_identity`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the folder is foreign, damaged, of another version or unreadable.
-    pub fn open(mut disk: D, fresh: MemberId) -> Result<(Self, OpenReport), Error> {
-        let identity = identify(&mut disk, fresh)?;
+    /// Returns an error when the folder belongs to another program, is damaged, has another version
+    /// or cannot be read.
+    pub fn open(mut disk: D, new_identity: MemberId) -> Result<(Self, OpenReport), Error> {
+        let identity = read_or_write_identity(&mut disk, new_identity)?;
         let files = disk.list()?;
-        let generation = files.iter().filter_map(|file| first_segment(file)).max();
-        let mut kept = Recovered::default();
+        let generation = files
+            .iter()
+            .filter_map(|file| first_segment_generation(file))
+            .max();
+        let mut recovered = Recovered::default();
         let mut report = OpenReport::default();
         if let Some(generation) = generation {
-            report.torn_tail = read_generation(&disk, &files, generation, &mut kept)?;
+            report.torn_tail = read_generation(&disk, &files, generation, &mut recovered)?;
         }
-        report.entries = kept.entries.len();
+        report.entries = recovered.entries.len();
         let mut store = Self {
             disk,
             generation: generation.unwrap_or(0),
             identity,
-            kept,
-            length: 0,
+            recovered,
+            segment_len: 0,
             poisoned: false,
-            segment: 0,
+            segment_number: 0,
         };
-        store.renew(store.kept.clone())?;
+        store.start_generation(store.recovered.clone())?;
         Ok((store, report))
     }
 
-    /// Returns the identity of the folder.
+    /// Returns the member id that is stored in the folder.
     pub fn identity(&self) -> MemberId {
         self.identity
     }
 
-    /// Returns what the folder holds.
+    /// Returns the durable state: what was read on opening, and all records written since.
     pub fn recovered(&self) -> &Recovered {
-        &self.kept
+        &self.recovered
     }
 
-    /// Writes records, and returns once they would outlive a loss of power.
+    /// Writes records and returns once they survive a loss of power.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Full`] when the records may be written again later. After any other error
-    /// nothing is written until the next start.
+    /// Returns [`Error::Full`] when the disk is full; the same records may be written again later.
+    /// After any other error nothing is written until the next start.
     pub fn write(&mut self, records: Vec<Record>) -> Result<(), Error> {
         if self.poisoned {
             return Err(Error::Poisoned);
         }
-        let whole = |record: &Record| matches!(record, Record::Compact(_) | Record::Install(_));
-        let result = match records.iter().any(whole) {
+        let is_rewrite =
+            |record: &Record| matches!(record, Record::Compact(_) | Record::Install(_));
+        let result = match records.iter().any(is_rewrite) {
             false => self.append(&records),
             true => {
-                let mut next = self.kept.clone();
+                let mut next = self.recovered.clone();
                 records
                     .iter()
                     .cloned()
                     .for_each(|record| next.apply(record));
-                return self.renew(next);
+                return self.start_generation(next);
             }
         };
         if result.is_ok() {
             records
                 .into_iter()
-                .for_each(|record| self.kept.apply(record));
+                .for_each(|record| self.recovered.apply(record));
         }
         result
     }
 
     fn append(&mut self, records: &[Record]) -> Result<(), Error> {
         let frame = disk_frame::encode(&records)?;
-        if self.length >= SEGMENT_BYTES {
-            self.roll()?;
+        if self.segment_len >= SEGMENT_TARGET_BYTES {
+            self.start_segment()?;
         }
-        let file = segment(self.generation, self.segment);
+        let file = segment_name(self.generation, self.segment_number);
         if let Err(error) = self.disk.append(&file, &frame) {
-            let undone = self.disk.truncate(&file, self.length);
-            self.poisoned = !is_full(&error) || undone.is_err();
-            return Err(self.failure(error));
+            let truncated = self.disk.truncate(&file, self.segment_len);
+            self.poisoned = !is_full(&error) || truncated.is_err();
+            return Err(self.write_error(error));
         }
         self.poisoned = true;
         self.disk.sync(&file)?;
         self.poisoned = false;
-        self.length += frame.len() as u64;
+        self.segment_len += frame.len() as u64;
         Ok(())
     }
 
-    fn failure(&self, error: io::Error) -> Error {
+    fn write_error(&self, error: io::Error) -> Error {
         match is_full(&error) && !self.poisoned {
             false => Error::Io(error),
             true => Error::Full,
         }
     }
 
-    /// Writes a generation that holds `next`, and removes the others.
-    fn renew(&mut self, next: Recovered) -> Result<(), Error> {
+    /// Writes a new generation with the state `next`, and removes the others.
+    fn start_generation(&mut self, next: Recovered) -> Result<(), Error> {
         let generation = self.generation + 1;
         let start = vec![
             Record::HardState(next.hard_state),
@@ -193,46 +202,51 @@
         ];
         let log = disk_frame::encode(&start)?;
         let snapshot = disk_frame::encode(&*next.snapshot)?;
-        self.write_generation(generation, &snapshot, &log)?;
+        self.write_generation_files(generation, &snapshot, &log)?;
         self.generation = generation;
-        self.kept = next;
-        self.length = log.len() as u64;
-        self.segment = 0;
-        self.remove_old();
+        self.recovered = next;
+        self.segment_len = log.len() as u64;
+        self.segment_number = 0;
+        self.remove_other_generations();
         Ok(())
     }
 
-    /// Removes the files of other generations; one that stays is removed next time.
-    fn remove_old(&mut self) {
+    /// Removes the files of other generations; what cannot be removed is tried again next time.
+    fn remove_other_generations(&mut self) {
         for file in self.disk.list().unwrap_or_default() {
-            if file != FORMAT && generation_of(&file) != Some(self.generation) {
+            if file != FORMAT_FILE && file_generation(&file) != Some(self.generation) {
                 let _ = self.disk.remove(&file);
             }
         }
     }
 
-    fn roll(&mut self) -> Result<(), Error> {
-        let file = segment(self.generation, self.segment + 1);
-        let made = self
+    fn start_segment(&mut self) -> Result<(), Error> {
+        let file = segment_name(self.generation, self.segment_number + 1);
+        let created = self
             .disk
             .create(&file)
             .and_then(|()| self.disk.sync_folder());
-        if let Err(error) = made {
+        if let Err(error) = created {
             self.poisoned = !is_full(&error);
-            return Err(self.failure(error));
+            return Err(self.write_error(error));
         }
-        self.length = 0;
-        self.segment += 1;
+        self.segment_len = 0;
+        self.segment_number += 1;
         Ok(())
     }
 
-    fn write_generation(&mut self, generation: u64, snap: &[u8], log: &[u8]) -> Result<(), Error> {
-        let (snapshot, log_file) = (snapshot(generation), segment(generation, 0));
-        let drafted = disk::write_draft(&mut self.disk, &snapshot, snap)
+    fn write_generation_files(
+        &mut self,
+        generation: u64,
+        snapshot_bytes: &[u8],
+        log: &[u8],
+    ) -> Result<(), Error> {
+        let (snapshot, log_file) = (snapshot_name(generation), segment_name(generation, 0));
+        let drafted = disk::write_draft(&mut self.disk, &snapshot, snapshot_bytes)
             .and_then(|()| disk::write_draft(&mut self.disk, &log_file, log));
         if let Err(error) = drafted {
             self.poisoned = !is_full(&error);
-            return Err(self.failure(error));
+            return Err(self.write_error(error));
         }
         self.poisoned = true;
         disk::publish(&mut self.disk, &snapshot)?;
@@ -242,10 +256,10 @@
     }
 }
 
-fn identify(disk: &mut impl Disk, fresh: MemberId) -> Result<MemberId, Error> {
+fn read_or_write_identity(disk: &mut impl Disk, new_identity: MemberId) -> Result<MemberId, Error> {
     let files = disk.list()?;
-    if files.iter().any(|file| file == FORMAT) {
-        let bytes = disk.read(FORMAT)?;
+    if files.iter().any(|file| file == FORMAT_FILE) {
+        let bytes = disk.read(FORMAT_FILE)?;
         return match disk_frame::read::<Format>(&bytes, 0) {
             ReadOutcome::Frame { value, .. } if value.version == FORMAT_VERSION => {
                 Ok(value.identity)
@@ -254,61 +268,63 @@
                 found: value.version,
             }),
             ReadOutcome::Damaged | ReadOutcome::End | ReadOutcome::Torn => Err(Error::Damaged {
-                file: FORMAT.to_owned(),
-                place: 0,
+                file: FORMAT_FILE.to_owned(),
+                offset: 0,
             }),
         };
     }
-    let draft = format!("{FORMAT}.draft");
+    let draft = format!("{FORMAT_FILE}.draft");
     if let Some(file) = files.into_iter().find(|file| *file != draft) {
         return Err(Error::Foreign { file });
     }
     let format = Format {
-        identity: fresh,
+        identity: new_identity,
         version: FORMAT_VERSION,
     };
-    disk::replace_atomically(disk, FORMAT, &disk_frame::encode(&format)?)?;
-    Ok(fresh)
+    disk::replace_atomically(disk, FORMAT_FILE, &disk_frame::encode(&format)?)?;
+    Ok(new_identity)
 }
 
+/// Applies the files of a generation; returns whether its log ends with an unfinished write.
 fn read_generation(
     disk: &impl Disk,
     files: &[String],
     generation: u64,
-    kept: &mut Recovered,
+    recovered: &mut Recovered,
 ) -> Result<bool, Error> {
-    let file = snapshot(generation);
+    let file = snapshot_name(generation);
     let bytes = disk.read(&file)?;
     match disk_frame::read::<Snapshot>(&bytes, 0) {
-        ReadOutcome::Frame { value, .. } => kept.snapshot = value.into(),
+        ReadOutcome::Frame { value, .. } => recovered.snapshot = value.into(),
         ReadOutcome::Damaged | ReadOutcome::End | ReadOutcome::Torn => {
-            return Err(Error::Damaged { file, place: 0 });
+            return Err(Error::Damaged { file, offset: 0 });
         }
     }
-    let own = |file: &&String| segment_of(file).is_some_and(|(own, _)| own == generation);
-    let segments: Vec<&String> = files.iter().filter(own).collect();
+    let is_in_generation =
+        |file: &&String| parse_segment_name(file).is_some_and(|(found, _)| found == generation);
+    let segments: Vec<&String> = files.iter().filter(is_in_generation).collect();
     let mut torn_tail = false;
     for (number, file) in segments.iter().enumerate() {
-        let mut place = 0;
-        if segment_of(file) != Some((generation, number as u64)) {
+        let mut offset = 0;
+        if parse_segment_name(file) != Some((generation, number as u64)) {
             let file = (*file).clone();
-            return Err(Error::Damaged { file, place });
+            return Err(Error::Damaged { file, offset });
         }
         let bytes = disk.read(file)?;
         loop {
-            match disk_frame::read::<Vec<Record>>(&bytes, place) {
+            match disk_frame::read::<Vec<Record>>(&bytes, offset) {
                 ReadOutcome::End => break,
                 ReadOutcome::Frame { next, value } => {
-                    value.into_iter().for_each(|record| kept.apply(record));
-                    place = next;
+                    value.into_iter().for_each(|record| recovered.apply(record));
+                    offset = next;
                 }
-                ReadOutcome::Torn if number + 1 == segments.len() && (number, place) != (0, 0) => {
+                ReadOutcome::Torn if number + 1 == segments.len() && (number, offset) != (0, 0) => {
                     torn_tail = true;
                     break;
                 }
                 ReadOutcome::Damaged | ReadOutcome::Torn => {
                     let file = (*file).clone();
-                    return Err(Error::Damaged { file, place });
+                    return Err(Error::Damaged { file, offset });
                 }
             }
         }
@@ -323,26 +339,26 @@
     )
 }
 
-fn first_segment(file: &str) -> Option<u64> {
-    segment_of(file).and_then(|(generation, segment)| (segment == 0).then_some(generation))
+fn first_segment_generation(file: &str) -> Option<u64> {
+    parse_segment_name(file).and_then(|(generation, segment)| (segment == 0).then_some(generation))
 }
 
-fn generation_of(file: &str) -> Option<u64> {
+fn file_generation(file: &str) -> Option<u64> {
     let snapshot = file.strip_prefix("snapshot-");
-    let own = snapshot.and_then(|hex| u64::from_str_radix(hex, 16).ok());
-    own.or(segment_of(file).map(|(generation, _)| generation))
+    let parsed = snapshot.and_then(|hex| u64::from_str_radix(hex, 16).ok());
+    parsed.or(parse_segment_name(file).map(|(generation, _)| generation))
 }
 
-fn segment(generation: u64, segment: u64) -> String {
+fn segment_name(generation: u64, segment: u64) -> String {
     format!("log-{generation:016x}-{segment:016x}")
 }
 
-fn segment_of(file: &str) -> Option<(u64, u64)> {
+fn parse_segment_name(file: &str) -> Option<(u64, u64)> {
     let (generation, segment) = file.strip_prefix("log-")?.split_once('-')?;
     let generation = u64::from_str_radix(generation, 16).ok()?;
     Some((generation, u64::from_str_radix(segment, 16).ok()?))
 }
 
-fn snapshot(generation: u64) -> String {
+fn snapshot_name(generation: u64) -> String {
     format!("snapshot-{generation:016x}")
 }
--- a/crates/transport/tests/store.rs
+++ b/crates/transport/tests/store.rs
@@ -1,4 +1,5 @@
-//! Holds the fault table of a voter's data folder, on a disk that fails and forgets on demand.
+//! Tests that a voter's data survives lost power, full disks, failed syncs and damage, with an
+//! in-memory disk that injects these faults.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,10 +25,10 @@
 use transport::raft_store::OpenReport;
 use transport::raft_store::RaftStore;
 
-const ME: MemberId = MemberId(7);
+const IDENTITY: MemberId = MemberId(7);
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Call {
+enum Operation {
     Append,
     Any,
     Sync,
@@ -36,86 +37,91 @@
 #[derive(Clone, Default)]
 struct File {
     bytes: Vec<u8>,
-    synced: Vec<u8>,
+    synced_bytes: Vec<u8>,
 }
 
 #[derive(Default)]
-struct Platter {
-    calls: usize,
-    fault: Option<(Call, usize, io::ErrorKind)>,
+struct DiskState {
+    operations: usize,
+    fault: Option<(Operation, usize, io::ErrorKind)>,
     files: BTreeMap<String, File>,
-    names: BTreeMap<String, File>,
+    durable_files: BTreeMap<String, File>,
 }
 
-/// Keeps files in memory; a power loss takes what was not synced.
+/// Disk in memory that loses what was not synced when the power fails.
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Platter>>);
+struct MemoryDisk(Arc<Mutex<DiskState>>);
 
-impl Memory {
-    fn lock(&self) -> MutexGuard<'_, Platter> {
+impl MemoryDisk {
+    fn lock(&self) -> MutexGuard<'_, DiskState> {
         self.0.lock().expect("no test thread panicked")
     }
 
-    /// Lets the call after `later` calls of this sort fail, and all after it.
-    fn fail(&self, call: Call, later: usize, kind: io::ErrorKind) {
-        self.lock().fault = Some((call, later, kind));
+    /// Fails all operations of this kind with an error of `kind`, after `skipped` successful ones.
+    fn fail(&self, operation: Operation, skipped: usize, kind: io::ErrorKind) {
+        self.lock().fault = Some((operation, skipped, kind));
     }
 
-    fn heal(&self) {
+    fn repair(&self) {
         self.lock().fault = None;
     }
 
-    /// Cuts the power; bytes that were not synced keep their first `kept`.
-    fn lose_power(&self, kept: usize) {
-        let mut platter = self.lock();
-        platter.fault = None;
-        let mut names = platter.names.clone();
-        for (name, file) in &mut names {
-            let mut bytes = file.synced.clone();
-            let now = platter.files.get(name).filter(|now| now.synced == bytes);
+    /// Fails the power; of the unsynced bytes of a file, the first `unsynced_bytes` stay.
+    fn lose_power(&self, unsynced_bytes: usize) {
+        let mut state = self.lock();
+        state.fault = None;
+        let mut durable_files = state.durable_files.clone();
+        for (name, file) in &mut durable_files {
+            let mut bytes = file.synced_bytes.clone();
+            let now = state
+                .files
+                .get(name)
+                .filter(|now| now.synced_bytes == bytes);
             let unsynced = now.and_then(|now| now.bytes.get(bytes.len()..));
-            bytes.extend(unsynced.unwrap_or_default().iter().take(kept));
+            bytes.extend(unsynced.unwrap_or_default().iter().take(unsynced_bytes));
             file.bytes.clone_from(&bytes);
-            file.synced = bytes;
+            file.synced_bytes = bytes;
         }
-        platter.files.clone_from(&names);
-        platter.names = names;
+        state.files.clone_from(&durable_files);
+        state.durable_files = durable_files;
     }
 
-    fn change(&self, part: &str, change: impl FnOnce(&mut Vec<u8>)) -> String {
-        let mut platter = self.lock();
-        let name = platter.files.keys().find(|name| name.starts_with(part));
+    /// Changes the bytes of the first file whose name starts with `prefix`, and returns its name.
+    fn change(&self, prefix: &str, change: impl FnOnce(&mut Vec<u8>)) -> String {
+        let mut state = self.lock();
+        let name = state.files.keys().find(|name| name.starts_with(prefix));
         let name = name.expect("file").clone();
-        change(&mut platter.files.get_mut(&name).expect("file").bytes);
+        change(&mut state.files.get_mut(&name).expect("file").bytes);
         name
     }
 
-    fn enter(&self, call: Call) -> io::Result<MutexGuard<'_, Platter>> {
-        let mut platter = self.lock();
-        platter.calls += 1;
-        match &mut platter.fault {
-            Some((sort, 0, kind)) if *sort == call || *sort == Call::Any => {
+    /// Counts an operation, and fails it if a fault is due.
+    fn begin(&self, op: Operation) -> io::Result<MutexGuard<'_, DiskState>> {
+        let mut state = self.lock();
+        state.operations += 1;
+        match &mut state.fault {
+            Some((faulty, 0, kind)) if *faulty == op || *faulty == Operation::Any => {
                 return Err((*kind).into());
             }
-            Some((sort, later, _)) if *sort == call || *sort == Call::Any => *later -= 1,
+            Some((faulty, left, _)) if *faulty == op || *faulty == Operation::Any => *left -= 1,
             _ => {}
         }
-        Ok(platter)
+        Ok(state)
     }
 }
 
-impl Disk for Memory {
+impl Disk for MemoryDisk {
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
-        match self.enter(Call::Append) {
+        match self.begin(Operation::Append) {
             Err(error) => {
                 let half = &bytes[..bytes.len() / 2];
-                let mut platter = self.lock();
-                let file = platter.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
+                let mut state = self.lock();
+                let file = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
                 file.bytes.extend_from_slice(half);
                 Err(error)
             }
-            Ok(mut platter) => {
-                let file = platter.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
+            Ok(mut state) => {
+                let file = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
                 file.bytes.extend_from_slice(bytes);
                 Ok(())
             }
@@ -123,14 +129,14 @@
     }
 
     fn create(&mut self, file: &str) -> io::Result<()> {
-        let mut platter = self.enter(Call::Any)?;
-        platter.files.insert(file.to_owned(), File::default());
+        let mut state = self.begin(Operation::Any)?;
+        state.files.insert(file.to_owned(), File::default());
         Ok(())
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
-        let mut platter = self.lock();
-        let file = platter.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
+        let mut state = self.lock();
+        let file = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
         file.bytes.truncate(length as usize);
         Ok(())
     }
@@ -140,37 +146,37 @@
     }
 
     fn read(&self, file: &str) -> io::Result<Vec<u8>> {
-        let platter = self.lock();
-        let file = platter.files.get(file).ok_or(io::ErrorKind::NotFound)?;
+        let state = self.lock();
+        let file = state.files.get(file).ok_or(io::ErrorKind::NotFound)?;
         Ok(file.bytes.clone())
     }
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        self.enter(Call::Any)?.files.remove(file);
+        self.begin(Operation::Any)?.files.remove(file);
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let mut platter = self.enter(Call::Any)?;
-        let file = platter.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        platter.files.insert(to.to_owned(), file);
+        let mut state = self.begin(Operation::Any)?;
+        let file = state.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        state.files.insert(to.to_owned(), file);
         Ok(())
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
-        let mut platter = self.enter(Call::Sync)?;
-        let entry = platter.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
-        entry.synced.clone_from(&entry.bytes);
+        let mut state = self.begin(Operation::Sync)?;
+        let entry = state.files.get_mut(file).ok_or(io::ErrorKind::NotFound)?;
+        entry.synced_bytes.clone_from(&entry.bytes);
         let entry = entry.clone();
-        if platter.names.contains_key(file) {
-            platter.names.insert(file.to_owned(), entry);
+        if state.durable_files.contains_key(file) {
+            state.durable_files.insert(file.to_owned(), entry);
         }
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        let mut platter = self.enter(Call::Sync)?;
-        platter.names = platter.files.clone();
+        let mut state = self.begin(Operation::Sync)?;
+        state.durable_files = state.files.clone();
         Ok(())
     }
 }
@@ -184,7 +190,7 @@
     Record::Entries((first..=last).map(entry).collect())
 }
 
-fn hard(term: u64) -> Record {
+fn hard_state(term: u64) -> Record {
     Record::HardState(HardState { term, vote: None })
 }
 
@@ -199,22 +205,24 @@
     })
 }
 
-fn script() -> Vec<Vec<Record>> {
+/// Returns batches of records of each kind, in an order that a voter may write them.
+fn record_batches() -> Vec<Vec<Record>> {
     vec![
-        vec![hard(1), entries(1, 3)],
+        vec![hard_state(1), entries(1, 3)],
         vec![entries(4, 4)],
         vec![Record::Compact(snapshot(3))],
-        vec![hard(2), entries(4, 6)],
+        vec![hard_state(2), entries(4, 6)],
         vec![Record::Install(snapshot(9))],
         vec![entries(10, 11)],
     ]
 }
 
-fn open(disk: &Memory) -> (RaftStore<Memory>, OpenReport) {
-    RaftStore::open(disk.clone(), ME).expect("folder opens")
+fn open(disk: &MemoryDisk) -> (RaftStore<MemoryDisk>, OpenReport) {
+    RaftStore::open(disk.clone(), IDENTITY).expect("folder opens")
 }
 
-fn written(records: &[Vec<Record>]) -> Recovered {
+/// Returns the state after all of these records.
+fn applied(records: &[Vec<Record>]) -> Recovered {
     let mut recovered = Recovered::default();
     for record in records.iter().flatten() {
         recovered.apply(record.clone());
@@ -223,54 +231,58 @@
 }
 
 #[test]
-fn what_was_written_is_there_after_a_start() {
-    let disk = Memory::default();
+fn written_records_survive_a_restart() {
+    let disk = MemoryDisk::default();
     let (mut store, _) = open(&disk);
-    for records in script() {
-        store.write(records).expect("disk takes it");
+    for records in record_batches() {
+        store.write(records).expect("write succeeds");
     }
     disk.lose_power(0);
     let (store, report) = open(&disk);
-    assert_eq!(*store.recovered(), written(&script()));
+    assert_eq!(*store.recovered(), applied(&record_batches()));
     assert_eq!(report.entries, 2);
     assert!(!report.torn_tail);
-    assert_eq!(store.identity(), ME);
+    assert_eq!(store.identity(), IDENTITY);
 }
 
+/// A power loss at any operation may keep any part of an unsynced write: acknowledged batches must
+/// stay, and a batch that was not acknowledged must be there whole or not at all.
 #[test]
-fn power_loss_at_every_call_keeps_what_was_acknowledged_and_tears_nothing() {
-    for kept in [0, 1, 20, 10_000] {
-        for call in 0..200 {
-            let disk = Memory::default();
+fn power_loss_at_any_operation_keeps_acknowledged_batches_whole() {
+    for unsynced_bytes in [0, 1, 20, 10_000] {
+        for operation in 0..200 {
+            let disk = MemoryDisk::default();
             let mut acknowledged = 0;
-            disk.fail(Call::Any, call, io::ErrorKind::Other);
-            if let Ok((mut store, _)) = RaftStore::open(disk.clone(), ME) {
-                for records in script() {
+            disk.fail(Operation::Any, operation, io::ErrorKind::Other);
+            if let Ok((mut store, _)) = RaftStore::open(disk.clone(), IDENTITY) {
+                for records in record_batches() {
                     if store.write(records).is_err() {
                         break;
                     }
                     acknowledged += 1;
                 }
             }
-            disk.lose_power(kept);
+            disk.lose_power(unsynced_bytes);
             let (store, _) = open(&disk);
-            let before = written(&script()[..acknowledged]);
-            let after = written(&script()[..(acknowledged + 1).min(script().len())]);
+            let before = applied(&record_batches()[..acknowledged]);
+            let after =
+                applied(&record_batches()[..(acknowledged + 1).min(record_batches().len())]);
             let found = store.recovered();
             assert!(
                 *found == before || *found == after,
-                "call {call}, kept {kept}"
+                "operation {operation}, unsynced bytes kept {unsynced_bytes}"
             );
         }
     }
 }
 
+/// A power loss during a write leaves an unfinished frame at the end of the log.
 #[test]
-fn torn_tail_is_dropped() {
-    let disk = Memory::default();
+fn unfinished_write_at_the_end_of_the_log_is_dropped() {
+    let disk = MemoryDisk::default();
     let (mut store, _) = open(&disk);
-    store.write(vec![entries(1, 3)]).expect("disk takes it");
-    disk.fail(Call::Sync, 0, io::ErrorKind::Other);
+    store.write(vec![entries(1, 3)]).expect("write succeeds");
+    disk.fail(Operation::Sync, 0, io::ErrorKind::Other);
     store.write(vec![entries(4, 4)]).expect_err("sync fails");
     disk.lose_power(30);
     let (store, report) = open(&disk);
@@ -284,90 +296,98 @@
     assert_eq!(store.recovered().entries.len(), 3);
 }
 
+/// Acknowledged entries must not be dropped like an unfinished write, so damage before the end of
+/// the log or in a snapshot prevents the start.
 #[test]
-fn damage_before_the_tail_is_named_and_nothing_starts() {
-    let disk = Memory::default();
+fn damage_before_the_end_of_the_log_prevents_opening_and_names_the_file() {
+    let disk = MemoryDisk::default();
     let (mut store, _) = open(&disk);
-    store.write(vec![entries(1, 3)]).expect("disk takes it");
-    store.write(vec![entries(4, 4)]).expect("disk takes it");
+    store.write(vec![entries(1, 3)]).expect("write succeeds");
+    store.write(vec![entries(4, 4)]).expect("write succeeds");
     let name = disk.change("log-", |bytes| bytes[50] ^= 1);
-    let error = RaftStore::open(disk.clone(), ME).err();
+    let error = RaftStore::open(disk.clone(), IDENTITY).err();
     assert_matches!(error, Some(Error::Damaged { file, .. }) if file == name);
-    let disk = Memory::default();
+    let disk = MemoryDisk::default();
     open(&disk);
     let name = disk.change("snapshot-", |bytes| bytes[18] ^= 1);
-    let error = RaftStore::open(disk.clone(), ME).err();
+    let error = RaftStore::open(disk.clone(), IDENTITY).err();
     assert_matches!(error, Some(Error::Damaged { file, .. }) if file == name);
 }
 
 #[test]
-fn full_disk_takes_the_same_records_later() {
-    for records in script() {
-        let disk = Memory::default();
+fn records_refused_by_a_full_disk_can_be_written_later() {
+    for records in record_batches() {
+        let disk = MemoryDisk::default();
         let (mut store, _) = open(&disk);
         let before = store.recovered().clone();
-        disk.fail(Call::Append, 0, io::ErrorKind::StorageFull);
+        disk.fail(Operation::Append, 0, io::ErrorKind::StorageFull);
         assert_matches!(store.write(records.clone()), Err(Error::Full));
         assert_matches!(store.write(records.clone()), Err(Error::Full));
         assert_eq!(*store.recovered(), before);
-        disk.heal();
-        store.write(records.clone()).expect("disk takes it");
+        disk.repair();
+        store.write(records.clone()).expect("write succeeds");
         disk.lose_power(0);
-        assert_eq!(*open(&disk).0.recovered(), written(&[records]));
+        assert_eq!(*open(&disk).0.recovered(), applied(&[records]));
     }
 }
 
+/// After a failed sync the system may drop the dirty pages and report success for the next sync.
 #[test]
-fn failed_sync_is_never_tried_again() {
-    for records in script() {
-        let disk = Memory::default();
+fn store_refuses_writes_after_a_failed_sync() {
+    for records in record_batches() {
+        let disk = MemoryDisk::default();
         let (mut store, _) = open(&disk);
-        disk.fail(Call::Sync, 0, io::ErrorKind::Other);
+        disk.fail(Operation::Sync, 0, io::ErrorKind::Other);
         assert_matches!(store.write(records.clone()), Err(Error::Io(_)));
-        disk.heal();
+        disk.repair();
         assert_matches!(store.write(records), Err(Error::Poisoned));
     }
 }
 
 #[test]
-fn folder_of_something_else_is_refused() {
-    let mut disk = Memory::default();
-    disk.create("photos").expect("disk takes it");
-    let error = RaftStore::open(disk, ME).err();
+fn folder_with_files_of_another_program_is_refused() {
+    let mut disk = MemoryDisk::default();
+    disk.create("photos").expect("file is created");
+    let error = RaftStore::open(disk, IDENTITY).err();
     assert_matches!(error, Some(Error::Foreign { file }) if file == "photos");
 }
 
 #[test]
-fn folder_of_another_version_is_refused() {
-    let mut disk = Memory::default();
+fn folder_of_another_format_version_is_refused() {
+    let mut disk = MemoryDisk::default();
     open(&disk);
-    let next = transport::disk_frame::encode(&(ME, 2_u32)).expect("format encodes");
-    disk::replace_atomically(&mut disk, "format", &next).expect("disk takes it");
-    let error = RaftStore::open(disk, ME).err();
+    let next = transport::disk_frame::encode(&(IDENTITY, 2_u32)).expect("format encodes");
+    disk::replace_atomically(&mut disk, "format", &next).expect("write succeeds");
+    let error = RaftStore::open(disk, IDENTITY).err();
     assert_matches!(error, Some(Error::Version { found: 2 }));
 }
 
+/// Two processes that write one folder would corrupt it.
 #[test]
 fn folder_in_use_is_refused() {
     let path = std::env::temp_dir().join(format!("folder_in_use_{}", std::process::id()));
-    let held = Folder::open(&path).expect("folder opens");
+    let locked = Folder::open(&path).expect("folder opens");
     assert_matches!(Folder::open(&path), Err(disk::Error::Locked { folder }) if folder == path);
-    drop(held);
-    let (mut store, _) = RaftStore::open(Folder::open(&path).expect("freed"), ME).expect("opens");
-    store.write(script().remove(0)).expect("disk takes it");
-    let kept = store.recovered().clone();
+    drop(locked);
+    let (mut store, _) =
+        RaftStore::open(Folder::open(&path).expect("lock was released"), IDENTITY).expect("opens");
+    store
+        .write(record_batches().remove(0))
+        .expect("write succeeds");
+    let recovered = store.recovered().clone();
     drop(store);
-    let (store, _) = RaftStore::open(Folder::open(&path).expect("freed"), ME).expect("opens");
-    assert_eq!(*store.recovered(), kept);
+    let (store, _) =
+        RaftStore::open(Folder::open(&path).expect("lock was released"), IDENTITY).expect("opens");
+    assert_eq!(*store.recovered(), recovered);
     drop(store);
-    std::fs::remove_dir_all(path).expect("folder goes");
+    std::fs::remove_dir_all(path).expect("folder is removed");
 }
 
 #[test]
-fn log_goes_on_in_further_segments() {
-    let disk = Memory::default();
+fn full_segment_is_followed_by_another_until_the_next_generation() {
+    let disk = MemoryDisk::default();
     let (mut store, _) = open(&disk);
-    let large = |index| {
+    let large_record = |index| {
         Record::Entries(vec![Entry {
             log_time_ms: 0,
             payload: Payload::Command(vec![1; 3 << 20].into()),
@@ -375,14 +395,16 @@
         }])
     };
     for index in 1..=7 {
-        store.write(vec![large(index)]).expect("disk takes it");
+        store
+            .write(vec![large_record(index)])
+            .expect("write succeeds");
     }
-    let logs = |disk: &Memory| {
+    let segment_count = |disk: &MemoryDisk| {
         let names = disk.list().expect("disk lists");
         names.iter().filter(|name| name.starts_with("log-")).count()
     };
-    assert_eq!(logs(&disk), 3);
+    assert_eq!(segment_count(&disk), 3);
     let (store, _) = open(&disk);
     assert_eq!(store.recovered().entries.len(), 7);
-    assert_eq!(logs(&disk), 1);
+    assert_eq!(segment_count(&disk), 1);
 }
