--- a/crates/hibiscushoistd/tests/fakes/mod.rs
+++ b/crates/hibiscushoistd/tests/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform's kind: upstreams that behave as they are told, and their list.
+//! Fakes of the platform: upstreams whose answers the test controls, and the list of upstreams.
 
 #![allow(dead_code)]
 
@@ -26,35 +26,37 @@
 use serde_json::json;
 use tokio::net::TcpListener;
 
-/// Gives the length of a pause in a stream; a host looks for another upstream several times in it.
-const PAUSE: Duration = Duration::from_millis(2_500);
-/// Counts the events of a whole stream.
+/// Length of the stall in a stream; long enough for a host to check several times whether another
+/// upstream can take over.
+const STALL_TIME: Duration = Duration::from_millis(2_500);
+/// Number of events of a complete stream.
 pub const EVENTS: u64 = 6;
 
 type Body = StreamBody<stream::BoxStream<'static, Result<Frame<Bytes>, std::io::Error>>>;
 type Answer = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// Tells an upstream how to behave.
+/// How an upstream answers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Behavior {
-    /// Answers for another request.
+pub enum Mode {
+    /// Answers with the ID of another request.
     Crossed,
-    /// Breaks off in the middle of the answer.
+    /// Breaks off in the middle of an answer.
     Cut,
-    /// Answers with a failure of its own.
+    /// Answers with status 500.
     Failing,
-    /// Never answers.
+    /// Sends nothing for a minute, much longer than a caller waits.
     Hanging,
-    /// Pauses in the middle of the answer for longer than a stream that may move is waited for.
-    Pausing,
-    /// Refuses without running.
+    /// Stalls in the middle of a stream for longer than a host waits before it has the stream
+    /// resumed at another upstream.
+    Stalling,
+    /// Refuses requests without running them.
     Rejecting,
-    /// Answers.
+    /// Answers as it should.
     #[default]
     Working,
 }
 
-/// Describes a request as an upstream received it.
+/// A request as an upstream received it.
 #[derive(Clone, Debug)]
 pub struct Received {
     pub body: Bytes,
@@ -64,14 +66,14 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    dropped: u32,
-    behavior: Behavior,
+    cancelled: u32,
+    mode: Mode,
     orders: Vec<Value>,
     received: Vec<Received>,
     version: u64,
 }
 
-/// Stands in for an upstream.
+/// A fake upstream; clones share one state.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     pub address: SocketAddr,
@@ -90,7 +92,7 @@
         let state = shared.clone();
         let name = id.to_owned();
         let handle =
-            move |request| -> Answer { Box::pin(serve(state.clone(), name.clone(), request)) };
+            move |request| -> Answer { Box::pin(answer(state.clone(), name.clone(), request)) };
         Self {
             address: listen(handle).await,
             id: id.to_owned(),
@@ -99,25 +101,28 @@
         }
     }
 
-    pub fn set_behavior(&self, behavior: Behavior) {
-        self.shared.lock().unwrap().behavior = behavior;
+    /// Changes how the upstream answers from now on.
+    pub fn set_mode(&self, mode: Mode) {
+        self.shared.lock().unwrap().mode = mode;
     }
 
-    /// Returns the requests that arrived, other than those about the upstream itself.
+    /// Returns the received requests, without orders and requests for a report.
     pub fn received(&self) -> Vec<Received> {
         self.shared.lock().unwrap().received.clone()
     }
 
+    /// Returns the received orders to load weights.
     pub fn orders(&self) -> Vec<Value> {
         self.shared.lock().unwrap().orders.clone()
     }
 
-    /// Counts the requests whose connection ended before they were answered.
-    pub fn dropped(&self) -> u32 {
-        self.shared.lock().unwrap().dropped
+    /// Returns the number of requests that were cancelled before they were answered.
+    pub fn cancelled(&self) -> u32 {
+        self.shared.lock().unwrap().cancelled
     }
 
-    fn listed(&self) -> Value {
+    /// Returns the entry of the upstream in the list.
+    fn list_entry(&self) -> Value {
         let version = self.shared.lock().unwrap().version;
         let models = match self.service.as_str() {
             "engines" => json!([{"name": "m", "version": version, "adapters": []}]),
@@ -130,16 +135,17 @@
     }
 }
 
-/// Starts a list of `upstreams` and returns its address.
-pub async fn list(upstreams: Vec<Upstream>) -> SocketAddr {
+/// Starts a server with the list of `upstreams`, and returns its address.
+pub async fn start_list(upstreams: Vec<Upstream>) -> SocketAddr {
     listen(move |_| -> Answer {
-        let instances: Vec<Value> = upstreams.iter().map(Upstream::listed).collect();
+        let instances: Vec<Value> = upstreams.iter().map(Upstream::list_entry).collect();
         let page = json!({"instances": instances, "next": null});
-        Box::pin(async move { whole(200, page.to_string()) })
+        Box::pin(async move { response(200, page.to_string()) })
     })
     .await
 }
 
+/// Starts an HTTP server on a free port, and returns its address.
 async fn listen(
     handle: impl Fn(Request<Incoming>) -> Answer + Clone + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -158,21 +164,22 @@
     address
 }
 
-/// Notes a request that is dropped before its answer.
-struct Watch {
+/// Counts a request as cancelled if it is dropped before the answer is ready.
+struct CancellationCounter {
     answered: bool,
     shared: Arc<Mutex<Shared>>,
 }
 
-impl Drop for Watch {
+impl Drop for CancellationCounter {
     fn drop(&mut self) {
         if !self.answered {
-            self.shared.lock().unwrap().dropped += 1;
+            self.shared.lock().unwrap().cancelled += 1;
         }
     }
 }
 
-async fn serve(
+/// Answers reports and orders, and all other requests according to the mode.
+async fn answer(
     shared: Arc<Mutex<Shared>>,
     id: String,
     request: Request<Incoming>,
@@ -192,92 +199,94 @@
                 "models": [{"name": "m", "version": version}], "busy": false,
                 "sequence": sequence, "running": 0,
             });
-            return whole(200, report.to_string());
+            return response(200, report.to_string());
         }
         "/hibiscushoist/order" => {
             let order: Value = serde_json::from_slice(&body).unwrap();
             let mut shared = shared.lock().unwrap();
             shared.version = order["version"].as_u64().unwrap();
             shared.orders.push(order);
-            return whole(202, String::new());
+            return response(202, String::new());
         }
         _ => {}
     }
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let expected = text("x-expect-version").is_none_or(|v| v == version.to_string());
     if text("x-expect-instance") != Some(id.as_str()) || !expected {
-        return whole(421, String::new());
+        return response(421, String::new());
     }
     let request_id = text("x-request-id").unwrap_or_default().to_owned();
-    let behavior = {
+    let mode = {
         let mut shared = shared.lock().unwrap();
         shared.received.push(Received {
             body,
             headers: head.headers.clone(),
             path,
         });
-        shared.behavior
+        shared.mode
     };
-    let streams = head.uri.path().starts_with("/stream/");
+    let is_stream = head.uri.path().starts_with("/stream/");
     let after = text("last-event-id").and_then(|id| id.parse().ok());
     let after: u64 = after.unwrap_or_default();
-    let mut watch = Watch {
+    let mut cancellation_counter = CancellationCounter {
         answered: false,
         shared,
     };
-    let mut response = match behavior {
-        Behavior::Crossed => whole(200, "answer".to_owned()),
-        Behavior::Cut if streams => parts(200, vec![Ok(events(after, after + 2)), Err(())]),
-        Behavior::Cut => parts(200, vec![Ok("ans".to_owned()), Err(())]),
-        Behavior::Failing => whole(500, "failure".to_owned()),
-        Behavior::Hanging => {
+    let mut response = match mode {
+        Mode::Crossed => response(200, "answer".to_owned()),
+        Mode::Cut if is_stream => response_of(200, vec![Ok(events(after, after + 2)), Err(())]),
+        Mode::Cut => response_of(200, vec![Ok("ans".to_owned()), Err(())]),
+        Mode::Failing => response(500, "failure".to_owned()),
+        Mode::Hanging => {
             tokio::time::sleep(Duration::from_secs(60)).await;
-            whole(200, "late".to_owned())
+            response(200, "late".to_owned())
         }
-        Behavior::Pausing => pausing(after),
-        Behavior::Rejecting => whole(503, String::new()),
-        Behavior::Working if streams => whole(200, events(after, EVENTS)),
-        Behavior::Working => whole(200, format!("answer of {id}")),
+        Mode::Stalling => stalling_stream(after),
+        Mode::Rejecting => response(503, String::new()),
+        Mode::Working if is_stream => response(200, events(after, EVENTS)),
+        Mode::Working => response(200, format!("answer of {id}")),
     };
-    watch.answered = true;
+    cancellation_counter.answered = true;
     let headers = response.headers_mut();
-    let echoed = match behavior {
-        Behavior::Crossed => "another".to_owned(),
+    let echoed = match mode {
+        Mode::Crossed => "another".to_owned(),
         _ => request_id,
     };
     headers.insert("x-request-id", echoed.parse().unwrap());
-    match behavior {
-        Behavior::Rejecting => headers.insert("x-not-executed", "1".parse().unwrap()),
+    match mode {
+        Mode::Rejecting => headers.insert("x-not-executed", "1".parse().unwrap()),
         _ => headers.insert("x-server-stamp", "stamp".parse().unwrap()),
     };
     response
 }
 
-/// Returns the events after one up to another; what follows the last is cut short on the way.
+/// Returns the events with the IDs from `after + 1` to `last`; for [`Mode::Cut`], the connection
+/// breaks before the next one.
 pub fn events(after: u64, last: u64) -> String {
     let events = (after + 1..=last).map(|id| format!("id: {id}\ndata: token {id}\n\n"));
     events.collect()
 }
 
-fn whole(status: u16, text: String) -> Response<Body> {
-    parts(status, vec![Ok(text)])
+fn response(status: u16, text: String) -> Response<Body> {
+    response_of(status, vec![Ok(text)])
 }
 
-/// Returns a stream that pauses once.
-fn pausing(after: u64) -> Response<Body> {
+/// Returns a complete stream that stalls once, in the middle.
+fn stalling_stream(after: u64) -> Response<Body> {
     let half = after + (EVENTS - after) / 2;
     let texts = [events(after, half), events(half, EVENTS)];
-    let frames = stream::iter(texts.into_iter().enumerate()).then(async |(place, text)| {
-        tokio::time::sleep(PAUSE * place as u32).await;
+    let frames = stream::iter(texts.into_iter().enumerate()).then(async |(index, text)| {
+        tokio::time::sleep(STALL_TIME * index as u32).await;
         Ok(Frame::data(Bytes::from(text)))
     });
     Response::new(StreamBody::new(frames.boxed()))
 }
 
-fn parts(status: u16, parts: Vec<Result<String, ()>>) -> Response<Body> {
+/// Returns a response whose body breaks off at the first error.
+fn response_of(status: u16, parts: Vec<Result<String, ()>>) -> Response<Body> {
     let frame = async |part: Result<String, ()>| match part {
         Err(()) => {
-            // What was sent before has to leave before the connection breaks.
+            // Let the parts before the error be sent before the connection breaks.
             tokio::time::sleep(Duration::from_millis(50)).await;
             Err(std::io::Error::other("cut"))
         }
--- a/crates/hibiscushoistd/tests/routed.rs
+++ b/crates/hibiscushoistd/tests/routed.rs
@@ -1,4 +1,4 @@
-//! Routed requests from the caller's connection to the upstream's and back, in one process.
+//! Routed requests through a real daemon to fake upstreams and back, all in one process.
 
 mod fakes;
 
@@ -20,20 +20,21 @@
 use tokio::sync::oneshot;
 
 use coordination::drain;
-use fakes::Behavior;
+use fakes::Mode;
 use fakes::Upstream;
 use hibiscushoistd::daemon::Daemon;
 use hibiscushoistd::settings::Settings;
 use transport::log;
 
-/// Bounds every wait of the tests; nothing is measured against it.
-const HANG: Duration = Duration::from_secs(30);
+/// Limit of every wait; generous, because no test checks how fast something happens.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 const CALLERS: &str = "callers = 127.0.0.1:0\nreadiness = 127.0.0.1:0\n";
 const CONTROL: &str = "control = 127.0.0.1:0\n";
 const GATEWAY: &str = "[gateway]\n";
-const SHORT: &str = "address_lifetime_ms = 1\n";
+const SHORT_LIFETIME: &str = "address_lifetime_ms = 1\n";
 
-struct Bench {
+/// A host under test with two fake upstreams of one service.
+struct Setup {
     client: Client<HttpConnector, Full<Bytes>>,
     control: SocketAddr,
     daemon: Option<Daemon>,
@@ -45,13 +46,13 @@
     status: SocketAddr,
 }
 
-/// Holds a host with a runtime of its own, all of whose tasks and sockets end when it is dropped.
+/// A host with a runtime of its own, whose tasks and sockets all end when it is dropped.
 struct Leader(Option<Runtime>);
 
 impl Leader {
     async fn start(sections: String) -> (Self, Daemon) {
         let runtime = Builder::new_multi_thread().enable_all().build().unwrap();
-        let daemon = async move { host("a", "broker, entry, voter", &sections, &[]).await };
+        let daemon = async move { start_host("a", "broker, entry, voter", &sections, &[]).await };
         let daemon = runtime.spawn(daemon).await.expect("the daemon starts");
         (Self(Some(runtime)), daemon)
     }
@@ -71,16 +72,16 @@
     status: u16,
 }
 
-/// Starts two upstreams of a service, and returns the address of their list beside them.
-async fn upstreams(service: &str) -> (Upstream, Upstream, SocketAddr) {
+/// Starts two upstreams of a service and their list, and returns them with the list's address.
+async fn start_upstreams(service: &str) -> (Upstream, Upstream, SocketAddr) {
     let first = Upstream::start("i-1", service).await;
     let second = Upstream::start("i-2", service).await;
-    let list = fakes::list(vec![first.clone(), second.clone()]).await;
+    let list = fakes::start_list(vec![first.clone(), second.clone()]).await;
     (first, second, list)
 }
 
-/// Starts a host with some lines of the sections `[entry]` and `[gateway]`.
-async fn host(name: &str, roles: &str, sections: &str, seeds: &[SocketAddr]) -> Daemon {
+/// Starts a host; `sections` holds lines of the sections `[entry]` and `[gateway]`.
+async fn start_host(name: &str, roles: &str, sections: &str, seeds: &[SocketAddr]) -> Daemon {
     let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
     let seeds = match seeds.is_empty() {
         false => format!("seeds = {}\n", seeds.join(", ")),
@@ -99,7 +100,7 @@
 }
 
 fn configuration(version: u64, key: &str) -> Value {
-    let lasting = |prefix: &str, kind: &str, attempts: u32, service: &str, timeout_ms: u64| {
+    let timed_route = |prefix: &str, kind: &str, attempts: u32, service: &str, timeout_ms: u64| {
         json!({
             "name": prefix, "host": "h.example", "path_prefix": prefix, "kind": kind,
             "timeout_ms": timeout_ms, "latency_goal_ms": 1_000, "priority": 0, "service": service,
@@ -108,7 +109,7 @@
         })
     };
     let route = |prefix: &str, kind: &str, attempts: u32, service: &str| {
-        lasting(prefix, kind, attempts, service, 10_000)
+        timed_route(prefix, kind, attempts, service, 10_000)
     };
     json!({
         "version": version,
@@ -117,7 +118,7 @@
             route("/order/", "non_idempotent", 1, "desk"),
             route("/stream/", "streaming", 2, "engines"),
             route("/once/", "streaming", 1, "engines"),
-            lasting("/endless/", "streaming", 1, "engines", 3_600_000),
+            timed_route("/endless/", "streaming", 1, "engines", 3_600_000),
         ],
         "services": [
             {"name": "desk", "health_path": "/health", "max_conns": 10},
@@ -128,36 +129,35 @@
     })
 }
 
-impl Bench {
-    /// Starts a host with every role, two upstreams of one service and their list.
+impl Setup {
+    /// Starts a host with all roles, but no table yet.
     async fn start(service: &str) -> Self {
-        Self::named_for(service, SHORT).await
+        Self::with_lifetime(service, SHORT_LIFETIME).await
     }
 
-    /// Starts such a host with a setting for how long callers hold its address.
-    async fn named_for(service: &str, lifetime: &str) -> Self {
-        let (first, second, list) = upstreams(service).await;
+    /// Starts such a host; `lifetime` sets how long callers keep using its address.
+    async fn with_lifetime(service: &str, lifetime: &str) -> Self {
+        let (first, second, list) = start_upstreams(service).await;
         let sections = format!("{lifetime}{GATEWAY}{CALLERS}{CONTROL}list = {list}\n");
-        let daemon = host("a", "broker, entry, voter", &sections, &[]).await;
-        Self::of(daemon.bound().control[0], daemon, first, second)
+        let daemon = start_host("a", "broker, entry, voter", &sections, &[]).await;
+        Self::new(daemon.bound().control[0], daemon, first, second)
     }
 
-    /// Starts a host that leads and one without a disk that takes callers, and waits until that
-    /// one serves a table with the key `k1`.
-    async fn serving_beside_a_leader(service: &str) -> Self {
-        let (first, second, list) = upstreams(service).await;
+    /// Starts a leader, and as the host under test one without a voter; waits until it is ready.
+    async fn start_beside_leader(service: &str) -> Self {
+        let (first, second, list) = start_upstreams(service).await;
         let (runtime, leader) = Leader::start(format!("{GATEWAY}{CONTROL}list = {list}\n")).await;
         let sections = format!("{GATEWAY}{CALLERS}freshness_ms = 3600000\n");
-        let daemon = host("b", "entry", &sections, &[leader.peer_address()]).await;
-        let bench = Self {
+        let daemon = start_host("b", "entry", &sections, &[leader.peer_address()]).await;
+        let setup = Self {
             leader: Some(runtime),
-            ..Self::of(leader.bound().control[0], daemon, first, second)
+            ..Self::new(leader.bound().control[0], daemon, first, second)
         };
-        bench.serve().await;
-        bench
+        setup.apply_table().await;
+        setup
     }
 
-    fn of(control: SocketAddr, daemon: Daemon, first: Upstream, second: Upstream) -> Self {
+    fn new(control: SocketAddr, daemon: Daemon, first: Upstream, second: Upstream) -> Self {
         Self {
             client: Client::builder(TokioExecutor::new()).build_http(),
             control,
@@ -171,50 +171,50 @@
         }
     }
 
-    /// Starts a host and waits until it serves a table with the key `k1`.
-    async fn serving(service: &str) -> Self {
-        let bench = Self::start(service).await;
-        bench.serve().await;
-        bench
+    /// Starts a host with all roles and a table with the key `k1`, and waits until it is ready.
+    async fn start_ready(service: &str) -> Self {
+        let setup = Self::start(service).await;
+        setup.apply_table().await;
+        setup
     }
 
-    async fn serve(&self) {
+    async fn apply_table(&self) {
         assert_eq!(self.replace(&configuration(1, "k1")).await.status, 200);
-        self.ready().await;
+        self.wait_until_ready().await;
     }
 
-    /// Sends a request with a long prompt that others share.
+    /// Sends a request with a long prompt, whose first part counts as a shared prefix.
     async fn send_long(&self, path: &str) -> Answer {
         let mut long = self.request(path, "k1");
         let headers = long.headers_mut();
         headers.insert("x-token-usage", HeaderValue::from_static("17000,40"));
         let parts = HeaderValue::from_static("aa:13300,bb:3700");
         headers.insert("x-prompt-prefix", parts);
-        self.ask(long).await
+        self.call(long).await
     }
 
-    /// Counts the asks for the engine of a long prompt that ended so.
+    /// Returns the counter of calls to the leader for an engine that had this outcome.
     async fn assignments(&self, outcome: &str) -> u64 {
         let metrics = Request::get(format!("http://{}/metrics", self.status));
-        let metrics = self.ask(metrics.body(Full::default()).unwrap()).await;
+        let metrics = self.call(metrics.body(Full::default()).unwrap()).await;
         let text = String::from_utf8(metrics.body.unwrap().to_vec()).unwrap();
         let counter = format!("hibiscushoist_assignments_total{{outcome=\"{outcome}\"}} ");
         let line = text.lines().find_map(|line| line.strip_prefix(&counter));
         line.map_or(0, |count| count.parse().unwrap())
     }
 
-    async fn ready(&self) {
-        self.until(async || {
+    async fn wait_until_ready(&self) {
+        self.wait_until(async || {
             let request =
                 Request::get(format!("http://{}/hibiscushoist/readiness", self.readiness));
-            let ready = self.ask(request.body(Full::default()).unwrap()).await;
+            let ready = self.call(request.body(Full::default()).unwrap()).await;
             let probe = self.send("/stream/probe", "wrong-key").await;
             ready.status == 200 && probe.status == 401 && self.listed().await
         })
         .await;
     }
 
-    /// Returns whether the host has heard of the upstreams; an unlisted service refuses at once.
+    /// Returns whether the host knows the upstreams; without any, it refuses a request at once.
     async fn listed(&self) -> bool {
         let path = match self.first.received().is_empty() {
             true => "/read/listed",
@@ -224,18 +224,18 @@
         desk || self.send("/stream/listed", "k1").await.status == 200
     }
 
-    async fn until(&self, condition: impl AsyncFn() -> bool) {
+    async fn wait_until(&self, condition: impl AsyncFn() -> bool) {
         let wait = async {
             while !condition().await {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        tokio::time::timeout(HANG, wait)
+        tokio::time::timeout(WAIT_LIMIT, wait)
             .await
-            .expect("it happens in time");
+            .expect("the condition holds in time");
     }
 
-    async fn ask(&self, request: Request<Full<Bytes>>) -> Answer {
+    async fn call(&self, request: Request<Full<Bytes>>) -> Answer {
         let response = self.client.request(request).await;
         let response = response.expect("the host answers");
         let (head, body) = response.into_parts();
@@ -251,7 +251,7 @@
     }
 
     async fn send(&self, path: &str, key: &str) -> Answer {
-        self.ask(self.request(path, key)).await
+        self.call(self.request(path, key)).await
     }
 
     fn request(&self, path: &str, key: &str) -> Request<Full<Bytes>> {
@@ -271,7 +271,7 @@
 
     async fn control(&self, path: &str, body: String) -> Answer {
         let request = Request::post(format!("http://{}/hibiscushoist/{path}", self.control));
-        self.ask(request.body(Full::from(body)).unwrap()).await
+        self.call(request.body(Full::from(body)).unwrap()).await
     }
 
     async fn replace(&self, configuration: &Value) -> Answer {
@@ -281,25 +281,24 @@
 
     async fn read(&self) -> Answer {
         let path = format!("http://{}/hibiscushoist/config/get", self.control);
-        self.ask(Request::get(path).body(Full::default()).unwrap())
+        self.call(Request::get(path).body(Full::default()).unwrap())
             .await
     }
 
-    fn both(&self, behavior: Behavior) {
-        self.first.set_behavior(behavior);
-        self.second.set_behavior(behavior);
+    fn set_both(&self, mode: Mode) {
+        self.first.set_mode(mode);
+        self.second.set_mode(mode);
     }
 
-    /// Returns each upstream beside the other one and its name, since requests stay with the one to
-    /// which a connection is open.
-    fn in_turn(&self) -> [(&Upstream, &Upstream, &str); 2] {
+    /// Returns both orders of the upstreams, since requests prefer the one with an open connection.
+    fn pairs(&self) -> [(&Upstream, &Upstream, &str); 2] {
         [
             (&self.first, &self.second, "i-2"),
             (&self.second, &self.first, "i-1"),
         ]
     }
 
-    /// Counts the arrivals at `path`.
+    /// Returns the number of requests for `path` that arrived at either upstream.
     fn arrivals(&self, path: &str) -> usize {
         let received = self
             .first
@@ -310,30 +309,31 @@
     }
 }
 
+/// Without a table, a host must not deny keys or paths that may be valid: 503, not 401 or 404.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_without_a_table_is_not_ready_and_denies_nothing() {
-    let bench = Bench::start("desk").await;
-    assert_eq!(bench.send("/read/x", "k1").await.status, 503);
+async fn a_host_without_a_table_is_not_ready_and_answers_503() {
+    let setup = Setup::start("desk").await;
+    assert_eq!(setup.send("/read/x", "k1").await.status, 503);
     let request = Request::get(format!(
         "http://{}/hibiscushoist/readiness",
-        bench.readiness
+        setup.readiness
     ));
-    let ready = bench.ask(request.body(Full::default()).unwrap()).await;
+    let ready = setup.call(request.body(Full::default()).unwrap()).await;
     assert_eq!(ready.status, 503);
-    assert_eq!(bench.read().await.status, 503);
+    assert_eq!(setup.read().await.status, 503);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_goes_on_as_it_came_but_for_what_the_system_sets() {
-    let bench = Bench::serving("desk").await;
-    let answer = bench.send("/read/x?y=1", "k1").await;
+async fn a_request_reaches_the_upstream_with_only_the_gateway_headers_changed() {
+    let setup = Setup::start_ready("desk").await;
+    let answer = setup.send("/read/x?y=1", "k1").await;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.headers["x-server-stamp"], "stamp");
-    let all = bench
+    let all = setup
         .first
         .received()
         .into_iter()
-        .chain(bench.second.received());
+        .chain(setup.second.received());
     let received = all.filter(|r| r.path == "/read/x").last().unwrap();
     assert_eq!(received.body, "body");
     assert_eq!(received.headers["x-tenant-id"], "w1");
@@ -347,99 +347,91 @@
     assert!(left <= 8_000);
 }
 
-/// Looks at counters, which all hosts of a process share; no other test of this file may send long
-/// prompts.
+/// Checks counters that all hosts of the process share: no other test here may send long prompts.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_prompt_goes_where_the_leading_host_assigns_it_while_there_is_one() {
-    let bench = Bench::serving("engines").await;
-    let before = bench.assignments("assigned").await;
-    assert_eq!(bench.send_long("/stream/long").await.status, 200);
-    assert_eq!(bench.arrivals("/stream/long"), 1);
-    assert_eq!(bench.assignments("assigned").await, before + 1);
-
-    let mut bench = Bench::serving_beside_a_leader("engines").await;
-    assert_eq!(bench.send_long("/stream/long").await.status, 200);
-    assert_eq!(bench.assignments("assigned").await, before + 2);
-    drop(bench.leader.take());
+async fn a_long_prompt_is_assigned_by_the_leader_and_placed_locally_without_one() {
+    let setup = Setup::start_ready("engines").await;
+    let before = setup.assignments("assigned").await;
+    assert_eq!(setup.send_long("/stream/long").await.status, 200);
+    assert_eq!(setup.arrivals("/stream/long"), 1);
+    assert_eq!(setup.assignments("assigned").await, before + 1);
+
+    let mut setup = Setup::start_beside_leader("engines").await;
+    assert_eq!(setup.send_long("/stream/long").await.status, 200);
+    assert_eq!(setup.assignments("assigned").await, before + 2);
+    drop(setup.leader.take());
     for _ in 0..5 {
-        assert_eq!(bench.send_long("/stream/alone").await.status, 200);
+        assert_eq!(setup.send_long("/stream/alone").await.status, 200);
     }
-    assert_eq!(bench.arrivals("/stream/alone"), 5);
-    assert_eq!(bench.assignments("assigned").await, before + 2);
+    assert_eq!(setup.arrivals("/stream/alone"), 5);
+    assert_eq!(setup.assignments("assigned").await, before + 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unknown_key_and_an_unknown_path_are_refused() {
-    let bench = Bench::serving("desk").await;
-    assert_eq!(bench.send("/read/x", "k2").await.status, 401);
-    assert_eq!(bench.send("/none/x", "k1").await.status, 404);
-    assert_eq!(bench.arrivals("/none/x"), 0);
+    let setup = Setup::start_ready("desk").await;
+    assert_eq!(setup.send("/read/x", "k2").await.status, 401);
+    assert_eq!(setup.send("/none/x", "k1").await.status, 404);
+    assert_eq!(setup.arrivals("/none/x"), 0);
 }
 
+/// A rejected request did not run, so even one that is not idempotent is sent to another upstream.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_that_one_upstream_rejects_runs_at_the_other_once() {
-    let bench = Bench::serving("desk").await;
-    for (bad, sound, id) in bench.in_turn() {
-        bad.set_behavior(Behavior::Rejecting);
-        sound.set_behavior(Behavior::Working);
+async fn a_non_idempotent_request_rejected_by_one_upstream_runs_once_at_the_other() {
+    let setup = Setup::start_ready("desk").await;
+    for (bad, working, id) in setup.pairs() {
+        bad.set_mode(Mode::Rejecting);
+        working.set_mode(Mode::Working);
         let path = format!("/order/{id}");
         for _ in 0..10 {
-            let answer = bench.send(&path, "k1").await;
+            let answer = setup.send(&path, "k1").await;
             assert_eq!(answer.body.unwrap(), format!("answer of {id}"));
         }
-        let ran = sound.received();
+        let ran = working.received();
         assert_eq!(ran.iter().filter(|r| r.path == path).count(), 10);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_that_all_upstreams_reject_may_come_back() {
-    let bench = Bench::serving("desk").await;
-    bench.both(Behavior::Rejecting);
-    let answer = bench.send("/order/x", "k1").await;
+async fn a_request_rejected_by_all_upstreams_gets_a_retry_after() {
+    let setup = Setup::start_ready("desk").await;
+    setup.set_both(Mode::Rejecting);
+    let answer = setup.send("/order/x", "k1").await;
     assert_eq!(answer.status, 503);
     assert!(answer.headers.contains_key("retry-after"));
 }
 
+/// The upstream may have run the request before the failure; a retry could run it twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_whose_outcome_is_unknown_is_not_sent_again() {
-    let bench = Bench::serving("desk").await;
-    for behavior in [Behavior::Cut, Behavior::Crossed] {
-        let before = bench.arrivals("/order/x");
-        bench.both(behavior);
-        assert_eq!(
-            bench.send("/order/x", "k1").await.status,
-            502,
-            "{behavior:?}"
-        );
-        assert_eq!(bench.arrivals("/order/x"), before + 1, "{behavior:?}");
+async fn a_non_idempotent_request_with_an_unknown_outcome_is_not_retried() {
+    let setup = Setup::start_ready("desk").await;
+    for mode in [Mode::Cut, Mode::Crossed] {
+        let before = setup.arrivals("/order/x");
+        setup.set_both(mode);
+        assert_eq!(setup.send("/order/x", "k1").await.status, 502, "{mode:?}");
+        assert_eq!(setup.arrivals("/order/x"), before + 1, "{mode:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_read_that_broke_off_is_answered_by_the_other_upstream() {
-    let bench = Bench::serving("desk").await;
-    for (bad, sound, id) in bench.in_turn() {
-        sound.set_behavior(Behavior::Working);
-        for behavior in [
-            Behavior::Cut,
-            Behavior::Crossed,
-            Behavior::Failing,
-            Behavior::Hanging,
-        ] {
-            bad.set_behavior(behavior);
-            let answer = bench.send("/read/x", "k1").await;
+async fn a_failed_idempotent_request_is_retried_at_the_other_upstream() {
+    let setup = Setup::start_ready("desk").await;
+    for (bad, working, id) in setup.pairs() {
+        working.set_mode(Mode::Working);
+        for mode in [Mode::Cut, Mode::Crossed, Mode::Failing, Mode::Hanging] {
+            bad.set_mode(mode);
+            let answer = setup.send("/read/x", "k1").await;
             let expected = format!("answer of {id}");
-            assert_eq!(answer.body.unwrap(), expected, "{behavior:?}");
+            assert_eq!(answer.body.unwrap(), expected, "{mode:?}");
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_failure_of_an_upstream_reaches_the_caller_unchanged() {
-    let bench = Bench::serving("desk").await;
-    bench.both(Behavior::Failing);
-    let answer = bench.send("/order/x", "k1").await;
+async fn a_server_error_of_an_upstream_reaches_the_caller_unchanged() {
+    let setup = Setup::start_ready("desk").await;
+    setup.set_both(Mode::Failing);
+    let answer = setup.send("/order/x", "k1").await;
     assert_eq!(
         (answer.status, answer.body.unwrap()),
         (500, Bytes::from("failure"))
@@ -447,23 +439,25 @@
     assert_eq!(answer.headers["x-server-stamp"], "stamp");
 }
 
+/// A caller that sees a regular end would take part of an answer for the whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_breaks_off_does_not_look_complete() {
-    let bench = Bench::serving("engines").await;
-    bench.both(Behavior::Cut);
-    let answer = bench.send("/stream/x", "k1").await;
+async fn a_broken_stream_does_not_look_complete() {
+    let setup = Setup::start_ready("engines").await;
+    setup.set_both(Mode::Cut);
+    let answer = setup.send("/stream/x", "k1").await;
     assert!(answer.body.is_err() || answer.status == 502);
 }
 
+/// Events must neither be lost nor repeated where one upstream takes over from the other.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_breaks_off_goes_on_at_the_other_upstream() {
-    let bench = Bench::serving("engines").await;
-    let (first, second) = (&bench.first, &bench.second);
-    for (cut, sound, id) in bench.in_turn() {
-        cut.set_behavior(Behavior::Cut);
-        sound.set_behavior(Behavior::Working);
-        for place in 0..6 {
-            let answer = bench.send(&format!("/stream/{id}/{place}"), "k1").await;
+async fn a_broken_stream_is_resumed_at_the_other_upstream() {
+    let setup = Setup::start_ready("engines").await;
+    let (first, second) = (&setup.first, &setup.second);
+    for (cut, working, id) in setup.pairs() {
+        cut.set_mode(Mode::Cut);
+        working.set_mode(Mode::Working);
+        for index in 0..6 {
+            let answer = setup.send(&format!("/stream/{id}/{index}"), "k1").await;
             let whole = fakes::events(0, fakes::EVENTS);
             assert_eq!(answer.body.expect("the stream ends"), whole);
         }
@@ -478,69 +472,71 @@
     assert!(!after.is_empty(), "{sent:?}");
 }
 
+/// A stalled upstream may still answer; breaking off without an alternative would lose the answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_pauses_is_waited_for_where_it_may_not_go_on_elsewhere() {
-    let bench = Bench::serving("engines").await;
-    bench.both(Behavior::Pausing);
-    let answer = bench.send("/once/x", "k1").await;
+async fn a_stalled_stream_that_cannot_be_resumed_is_waited_for() {
+    let setup = Setup::start_ready("engines").await;
+    setup.set_both(Mode::Stalling);
+    let answer = setup.send("/once/x", "k1").await;
     let whole = fakes::events(0, fakes::EVENTS);
     assert_eq!(answer.body.expect("the stream ends"), whole);
-    assert_eq!(bench.arrivals("/once/x"), 1);
+    assert_eq!(setup.arrivals("/once/x"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_pauses_goes_on_at_another_upstream_that_takes_it() {
-    let bench = Bench::serving("engines").await;
-    bench.both(Behavior::Pausing);
-    let answer = bench.send("/stream/x", "k1").await;
+async fn a_stalled_stream_is_resumed_at_another_upstream() {
+    let setup = Setup::start_ready("engines").await;
+    setup.set_both(Mode::Stalling);
+    let answer = setup.send("/stream/x", "k1").await;
     let whole = fakes::events(0, fakes::EVENTS);
     assert_eq!(answer.body.expect("the stream ends"), whole);
-    assert_eq!(bench.arrivals("/stream/x"), 2);
+    assert_eq!(setup.arrivals("/stream/x"), 2);
 }
 
+/// Otherwise upstreams would go on computing answers that nobody reads.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upstream_stops_when_the_caller_leaves() {
-    let bench = Bench::serving("desk").await;
-    bench.both(Behavior::Hanging);
+async fn a_request_is_cancelled_at_the_upstream_when_the_caller_disconnects() {
+    let setup = Setup::start_ready("desk").await;
+    setup.set_both(Mode::Hanging);
     let leaving = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
-    let request = leaving.request(bench.request("/order/x", "k1"));
-    let gone = tokio::time::timeout(Duration::from_millis(300), request).await;
-    assert!(gone.is_err());
+    let request = leaving.request(setup.request("/order/x", "k1"));
+    let timed_out = tokio::time::timeout(Duration::from_millis(300), request).await;
+    assert!(timed_out.is_err());
     drop(leaving);
-    bench
-        .until(async || bench.first.dropped() + bench.second.dropped() == 1)
+    setup
+        .wait_until(async || setup.first.cancelled() + setup.second.cancelled() == 1)
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_highest_table_holds_and_reads_back_as_it_was_sent() {
-    let bench = Bench::serving("desk").await;
+async fn the_highest_table_version_wins_and_reads_back_as_sent() {
+    let setup = Setup::start_ready("desk").await;
     let newest = configuration(5, "k5");
-    assert_eq!(bench.replace(&newest).await.status, 200);
-    assert_eq!(bench.replace(&configuration(3, "k3")).await.status, 200);
-    assert_eq!(bench.replace(&configuration(5, "other")).await.status, 200);
+    assert_eq!(setup.replace(&newest).await.status, 200);
+    assert_eq!(setup.replace(&configuration(3, "k3")).await.status, 200);
+    assert_eq!(setup.replace(&configuration(5, "other")).await.status, 200);
     let cut = &newest.to_string()[..200];
     assert_eq!(
-        bench.control("config/replace", cut.to_owned()).await.status,
+        setup.control("config/replace", cut.to_owned()).await.status,
         400
     );
-    let read = bench.read().await.body.unwrap();
+    let read = setup.read().await.body.unwrap();
     assert_eq!(serde_json::from_slice::<Value>(&read).unwrap(), newest);
-    bench
-        .until(async || bench.send("/read/x", "k1").await.status == 401)
+    setup
+        .wait_until(async || setup.send("/read/x", "k1").await.status == 401)
         .await;
-    assert_eq!(bench.send("/read/x", "k5").await.status, 200);
+    assert_eq!(setup.send("/read/x", "k5").await.status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_are_brought_to_the_weights_that_were_named() {
-    let bench = Bench::serving("engines").await;
+async fn engines_reload_to_the_newest_weights_version() {
+    let setup = Setup::start_ready("engines").await;
     let named = json!({"model": "m", "version": 2}).to_string();
-    assert_eq!(bench.control("version-put", named).await.status, 200);
-    bench
-        .until(async || !bench.first.orders().is_empty() && !bench.second.orders().is_empty())
+    assert_eq!(setup.control("version-put", named).await.status, 200);
+    setup
+        .wait_until(async || !setup.first.orders().is_empty() && !setup.second.orders().is_empty())
         .await;
-    for upstream in [&bench.first, &bench.second] {
+    for upstream in [&setup.first, &setup.second] {
         let [order] = &upstream.orders()[..] else {
             panic!("{:?}", upstream.orders());
         };
@@ -550,14 +546,14 @@
         );
         assert_eq!(order["holder"], "a");
     }
-    bench
-        .until(async || {
-            bench.send("/stream/x", "k1").await;
-            let all = bench
+    setup
+        .wait_until(async || {
+            setup.send("/stream/x", "k1").await;
+            let all = setup
                 .first
                 .received()
                 .into_iter()
-                .chain(bench.second.received());
+                .chain(setup.second.received());
             all.into_iter().any(|r| {
                 r.headers["x-expect-version"] == "2" && r.headers["x-cache-salt"] == "w2-w1"
             })
@@ -566,35 +562,39 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_drains_ends_what_it_has_begun() {
-    let mut bench = Bench::serving("desk").await;
-    let answer = bench.send("/read/x", "k1").await;
+async fn a_host_without_requests_in_flight_drains_cleanly() {
+    let mut setup = Setup::start_ready("desk").await;
+    let answer = setup.send("/read/x", "k1").await;
     assert_eq!(answer.status, 200);
-    let mut daemon = bench.daemon.take().unwrap();
+    let mut daemon = setup.daemon.take().unwrap();
     let outcome = daemon.drain(std::future::pending()).await;
     assert_eq!(outcome, drain::Outcome::Clean);
 }
 
+/// Long streams that begin during a drain would keep the host from ending, or be cut off.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_drains_begins_no_stream_that_may_outlast_it() {
-    let mut bench = Bench::named_for("engines", "address_lifetime_ms = 600000\n").await;
-    bench.serve().await;
-    let mut daemon = bench.daemon.take().unwrap();
+async fn a_draining_host_refuses_streams_that_could_outlast_it() {
+    let mut setup = Setup::with_lifetime("engines", "address_lifetime_ms = 600000\n").await;
+    setup.apply_table().await;
+    let mut daemon = setup.daemon.take().unwrap();
     let endless = async || {
-        let mut request = bench.request("/endless/x", "k1");
+        let mut request = setup.request("/endless/x", "k1");
         let headers = request.headers_mut();
         headers.insert("x-deadline-ms", HeaderValue::from_static("3600000"));
-        bench.ask(request).await
+        setup.call(request).await
     };
     assert_eq!(endless().await.status, 200);
-    let (forced, again) = oneshot::channel();
-    let drained = tokio::spawn(async move { daemon.drain(async { drop(again.await) }).await });
-    bench.until(async || endless().await.status == 503).await;
+    let (force, force_requested) = oneshot::channel();
+    let drained =
+        tokio::spawn(async move { daemon.drain(async { drop(force_requested.await) }).await });
+    setup
+        .wait_until(async || endless().await.status == 503)
+        .await;
     let refused = endless().await;
     assert!(refused.headers.contains_key("retry-after"));
-    let short = bench.send("/stream/x", "k1").await;
+    let short = setup.send("/stream/x", "k1").await;
     let whole = fakes::events(0, fakes::EVENTS);
     assert_eq!(short.body.expect("the stream ends"), whole);
-    forced.send(()).unwrap();
+    force.send(()).unwrap();
     assert_eq!(drained.await.unwrap(), drain::Outcome::Forced);
 }
