--- a/crates/hibiscushoistd/src/daemon.rs
+++ b/crates/hibiscushoistd/src/daemon.rs
@@ -382,8 +382,8 @@
     Server {
         handler,
         limits: Limits {
-            connections: entry.connections,
-            header_bytes: entry.header_limit,
+            max_connections: entry.connections,
+            max_header_bytes: entry.header_limit,
             header_timeout: entry.header_timeout,
             write_timeout: entry.write_timeout,
         },
--- a/crates/transport/src/connection_pool.rs
+++ b/crates/transport/src/connection_pool.rs
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Sends a request, reads the whole answer and returns the connection to the pool.
+    /// Sends a request, reads the whole answer within `limit` and returns the connection to the
+    /// pool.
     ///
     /// # Errors
     ///
@@ -173,10 +174,10 @@
 
     /// Closes the idle connections to all addresses except `addresses`.
     pub fn retain(&self, addresses: &[SocketAddr]) {
-        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        all.retain(|address, _| addresses.contains(address));
+        let mut idle_by_address = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle_by_address.retain(|address, _| addresses.contains(address));
         let now = Instant::now();
-        for kept in all.values_mut() {
+        for kept in idle_by_address.values_mut() {
             kept.retain(|idle| idle.expires_at > now && !idle.sender.is_closed());
         }
     }
@@ -184,11 +185,10 @@
     /// Returns the addresses with an idle connection that a request with `limits` may use.
     pub fn idle_addresses(&self, limits: Limits) -> Vec<SocketAddr> {
         let now = Instant::now();
-        let all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let usable = |kept: &Vec<IdleConnection>| {
-            kept.iter().any(|idle| idle.is_usable(now, limits.max_idle))
-        };
-        let open = all.iter().filter(|(_, kept)| usable(kept));
+        let idle_by_address = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let usable =
+            |kept: &Vec<IdleConnection>| kept.iter().any(|c| c.is_usable(now, limits.max_idle));
+        let open = idle_by_address.iter().filter(|(_, kept)| usable(kept));
         open.map(|(address, _)| *address).collect()
     }
 
@@ -200,10 +200,11 @@
         }
     }
 
+    /// Takes the connection to `address` that became idle last, if one is usable, out of the pool.
     fn take(&self, address: SocketAddr, idle_limit: Duration) -> Option<SendRequest<Body>> {
         let now = Instant::now();
-        let mut all = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = all.get_mut(&address)?;
+        let mut idle_by_address = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let kept = idle_by_address.get_mut(&address)?;
         while let Some(idle) = kept.pop() {
             if idle.is_usable(now, idle_limit) && idle.sender.is_ready() {
                 return Some(idle.sender);
@@ -227,12 +228,12 @@
             idle_since: now,
             expires_at: now + max_idle,
         };
-        let mut all = self
+        let mut idle_by_address = self
             .pool
             .idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let kept = all.entry(self.address).or_default();
+        let kept = idle_by_address.entry(self.address).or_default();
         if kept.len() < MAX_IDLE_PER_UPSTREAM {
             kept.push(connection);
         }
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -32,7 +32,7 @@
 
 use crate::event;
 use crate::event::Event;
-use crate::write_timeout::WriteTimeoutStream;
+use crate::write_timeout;
 
 /// Delay after a failed accept, so that the loop does not spin while accepts keep failing.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -44,9 +44,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Connections that may be open at the same time.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Size limit of a request's header, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Time limit for the arrival of a request's header.
     pub header_timeout: Duration,
     /// Longest time for which the write of a response may make no progress.
@@ -73,7 +73,7 @@
     pub async fn run(self, listener: TcpListener, mut stop: watch::Receiver<bool>) {
         let server = Arc::new(self);
         let graceful = GracefulShutdown::new();
-        let permits = Arc::new(Semaphore::new(server.limits.connections));
+        let permits = Arc::new(Semaphore::new(server.limits.max_connections));
         while !*stop.borrow() {
             let accepted = tokio::select! {
                 accepted = server.accept(&listener, &permits) => accepted,
@@ -115,11 +115,11 @@
             .http1()
             .timer(TokioTimer::new())
             .header_read_timeout(self.limits.header_timeout)
-            .max_buf_size(self.limits.header_bytes)
+            .max_buf_size(self.limits.max_header_bytes)
             .half_close(false);
         let server = self.clone();
         let service = service_fn(move |request| server.clone().handle(request, peer));
-        let stream = WriteTimeoutStream::new(stream, self.limits.write_timeout);
+        let stream = write_timeout::WriteTimeoutStream::new(stream, self.limits.write_timeout);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let served = graceful.watch(connection.into_owned());
         tokio::spawn(async move {
@@ -136,7 +136,7 @@
         request: Request<Incoming>,
         peer: SocketAddr,
     ) -> Result<Response<Body>, Infallible> {
-        if header_bytes(&request) > self.limits.header_bytes {
+        if header_bytes(&request) > self.limits.max_header_bytes {
             return Ok(header_too_large());
         }
         let mut state = State::from_request(request, peer);
--- a/crates/transport/src/log.rs
+++ b/crates/transport/src/log.rs
@@ -10,7 +10,7 @@
 use strum::EnumString;
 
 /// Log records that may wait for the thread that writes them.
-const CHANNEL_RECORDS: usize = 4096;
+const MAX_QUEUED_RECORDS: usize = 4096;
 
 /// Format of log lines.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, Eq, PartialEq)]
@@ -48,7 +48,7 @@
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
     let drain = slog_async::Async::new(drain)
-        .chan_size(CHANNEL_RECORDS)
+        .chan_size(MAX_QUEUED_RECORDS)
         .build();
     let drain = drain.filter_level(level).fuse();
     Logger::root(drain, slog::o!())
--- a/crates/transport/tests/connection_pool.rs
+++ b/crates/transport/tests/connection_pool.rs
@@ -82,6 +82,8 @@
     assert_eq!(opened.load(Ordering::SeqCst), 1);
 }
 
+/// An upstream may close an idle connection just when a request is sent over it. Callers that
+/// cannot repeat a request therefore limit the idle time of the connections that they reuse.
 #[tokio::test]
 async fn a_connection_that_was_idle_for_too_long_is_not_reused() {
     let (address, opened) = upstream(ANSWER, false).await;
@@ -133,6 +135,7 @@
     assert!(failure.is_err_and(|error| error.not_sent()));
 }
 
+/// The upstream may have run the request, so the failure must not look like one before sending.
 #[tokio::test]
 async fn a_connection_that_closes_without_an_answer_is_reported_as_disconnected() {
     let (address, _) = upstream(b"", true).await;
@@ -140,6 +143,7 @@
     assert_matches!(failure, Err(Error::Disconnected { .. }));
 }
 
+/// The upstream announces nine bytes and closes the connection after two.
 #[tokio::test]
 async fn a_truncated_answer_is_an_error() {
     let (address, _) = upstream(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nok", true).await;
