--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -121,7 +121,7 @@
         let (read, error) = read(&client, &request("w", PROMPT)).await;
         let name = error.map(|error| match error {
             Error::Disconnected { .. } => "cut",
-            Error::Idle { .. } => "idle",
+            Error::InactivityTimeout { .. } => "idle",
             _ => "other",
         });
         assert_eq!((read.ended, name), (case.ended, case.error));
@@ -332,7 +332,7 @@
         ..limits()
     };
     let frozen = Client::new(engine.address(), hasty).load().await;
-    assert_matches!(frozen, Err(Error::Idle { .. }));
+    assert_matches!(frozen, Err(Error::InactivityTimeout { .. }));
     engine.set_frozen(false);
     assert!(client.load().await.is_ok());
 }
@@ -350,7 +350,7 @@
             Err(error) => break error,
         }
     };
-    assert_matches!(error, Error::Idle { .. });
+    assert_matches!(error, Error::InactivityTimeout { .. });
     assert!(client.load().await.is_ok());
 }
 
--- a/crates/hibiscushoistd/src/attempt.rs
+++ b/crates/hibiscushoistd/src/attempt.rs
@@ -237,7 +237,7 @@
             Error::BodyTooLong { .. } | Error::Format { .. } => Reason::Format,
             Error::Connect { .. } | Error::ConnectTimeout { .. } => Reason::Connect,
             Error::Disconnected { .. } => Reason::Cut,
-            Error::Idle { .. } => Reason::Idle,
+            Error::InactivityTimeout { .. } => Reason::Idle,
             Error::Mismatch { found, .. } => {
                 self.observe(found.incarnation);
                 Reason::Mismatch
--- a/crates/hibiscushoistd/src/service.rs
+++ b/crates/hibiscushoistd/src/service.rs
@@ -257,7 +257,7 @@
         Error::BodyTooLong { .. } | Error::Format { .. } => retry::Reason::Format,
         Error::Connect { .. } | Error::ConnectTimeout { .. } => retry::Reason::Connect,
         Error::Disconnected { .. } => retry::Reason::Cut,
-        Error::Idle { .. } => retry::Reason::Idle,
+        Error::InactivityTimeout { .. } => retry::Reason::Idle,
         Error::Mismatch { .. } => retry::Reason::Mismatch,
         Error::Refused { .. } => retry::Reason::Refused,
         Error::Status { .. } => retry::Reason::Status,
--- a/crates/transport/src/upstream.rs
+++ b/crates/transport/src/upstream.rs
@@ -99,7 +99,7 @@
     },
     /// The upstream sent nothing for too long.
     #[error("upstream {address} sent nothing for {limit:?}")]
-    Idle {
+    InactivityTimeout {
         /// Address of the upstream.
         address: SocketAddr,
         /// Time limit that was exceeded.
@@ -172,7 +172,7 @@
             Self::BodyTooLong { .. }
             | Self::Disconnected { .. }
             | Self::Format { .. }
-            | Self::Idle { .. }
+            | Self::InactivityTimeout { .. }
             | Self::Mismatch { .. }
             | Self::Status { .. } => NotRun::Unknown,
         }
@@ -242,7 +242,7 @@
             request.headers_mut().insert(HOST, host);
         }
         match timeout(limit, self.sender.send_request(request)).await {
-            Err(_) => Err(Error::Idle { address, limit }),
+            Err(_) => Err(Error::InactivityTimeout { address, limit }),
             Ok(Err(source)) => Err(self.disconnected(source)),
             Ok(Ok(response)) => Ok(response),
         }
@@ -257,7 +257,7 @@
         let (address, limit) = (self.address, self.limits.idle_timeout);
         loop {
             let frame = match timeout(limit, body.frame()).await {
-                Err(_) => return Err(Error::Idle { address, limit }),
+                Err(_) => return Err(Error::InactivityTimeout { address, limit }),
                 Ok(None) => return Ok(None),
                 Ok(Some(Err(source))) => return Err(self.disconnected(source)),
                 Ok(Some(Ok(frame))) => frame,
@@ -277,7 +277,7 @@
         let (address, limit) = (self.address, self.limits.head_timeout);
         let read = Limited::new(body, self.limits.body_limit).collect();
         match timeout(limit, read).await {
-            Err(_) => Err(Error::Idle { address, limit }),
+            Err(_) => Err(Error::InactivityTimeout { address, limit }),
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(source)) if source.is::<http_body_util::LengthLimitError>() => {
                 let limit = self.limits.body_limit;
