--- a/crates/transport/examples/durability.rs
+++ b/crates/transport/examples/durability.rs
@@ -1,7 +1,7 @@
-//! Measures the disk, the recovery and the size of durable state.
+//! Measures how long syncs and recovery take, and the size of durable state.
 //!
-//! Run with `cargo run --release -p transport --example durability [FOLDER]`; the folder stands on
-//! the disk that is measured and is removed afterwards.
+//! Run with `cargo run --release -p transport --example durability [FOLDER]`; the folder must be on
+//! the disk to measure and is removed afterwards.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -32,23 +32,24 @@
 use transport::disk::Folder;
 use transport::raft_store::RaftStore;
 
-const BATCHES: [u64; 4] = [1, 16, 128, 1_024];
-const CALLS: u64 = 200_000;
-const LENGTHS: [u64; 4] = [100, 1_000, 10_000, 100_000];
-const ROWS: u64 = 2_340;
-const WRITES: u64 = 300;
+const BATCH_SIZES: [u64; 4] = [1, 16, 128, 1_024];
+const CALL_COUNT: u64 = 200_000;
+const LOG_LENGTHS: [u64; 4] = [100, 1_000, 10_000, 100_000];
+const ROW_COUNT: u64 = 2_340;
+const WRITE_COUNT: u64 = 300;
 
 fn main() {
     let folder = std::env::args().nth(1).map(PathBuf::from);
     let folder = folder.unwrap_or_else(|| std::env::temp_dir().join("durability"));
-    ledger();
-    table();
-    syncs(&folder);
-    recovery(&folder);
-    fs::remove_dir_all(&folder).expect("the folder goes");
+    measure_ledger();
+    measure_table();
+    measure_syncs(&folder);
+    measure_recovery(&folder);
+    fs::remove_dir_all(&folder).expect("the folder is removed");
 }
 
-fn fresh(folder: &Path, name: &str) -> RaftStore<Folder> {
+/// Opens a store in a new folder, in place of an older one.
+fn new_store(folder: &Path, name: &str) -> RaftStore<Folder> {
     let path = folder.join(name);
     let _ = fs::remove_dir_all(&path);
     let disk = Folder::open(path).expect("the folder opens");
@@ -57,39 +58,41 @@
         .0
 }
 
-fn syncs(folder: &Path) {
-    for batch in BATCHES {
-        let mut store = fresh(folder, "syncs");
+/// Measures the rate and latency of writes for each batch size.
+fn measure_syncs(folder: &Path) {
+    for batch in BATCH_SIZES {
+        let mut store = new_store(folder, "syncs");
         let mut index = 0;
         let mut times = Vec::new();
         let start = Instant::now();
-        for _ in 0..WRITES {
+        for _ in 0..WRITE_COUNT {
             let entries = (0..batch).map(|offset| entry(index + offset + 1));
             let records = vec![Record::Entries(entries.collect())];
-            let began = Instant::now();
-            store.write(records).expect("the disk takes it");
-            times.push(began.elapsed().as_micros());
+            let started = Instant::now();
+            store.write(records).expect("the write succeeds");
+            times.push(started.elapsed().as_micros());
             index += batch;
         }
         let rate = index as f64 / start.elapsed().as_secs_f64();
         times.sort_unstable();
-        let (half, most) = (times[times.len() / 2], times[times.len() * 99 / 100]);
-        println!("sync: batch {batch}: {rate:.0} entries/s, p50 {half} us, p99 {most} us");
+        let (p50, p99) = (times[times.len() / 2], times[times.len() * 99 / 100]);
+        println!("sync: batch {batch}: {rate:.0} entries/s, p50 {p50} us, p99 {p99} us");
     }
 }
 
-fn recovery(folder: &Path) {
-    for length in LENGTHS {
-        let mut store = fresh(folder, "recovery");
+/// Measures how long it takes to read a log and to apply its entries.
+fn measure_recovery(folder: &Path) {
+    for length in LOG_LENGTHS {
+        let mut store = new_store(folder, "recovery");
         let entries = (1..=length).map(entry).collect();
         store
             .write(vec![Record::Entries(entries)])
-            .expect("the disk takes it");
+            .expect("the write succeeds");
         drop(store);
-        let began = Instant::now();
+        let started = Instant::now();
         let disk = Folder::open(folder.join("recovery")).expect("the folder opens");
         let (store, report) = RaftStore::open(disk, MemberId(1)).expect("the log is whole");
-        let read = began.elapsed();
+        let read_time = started.elapsed();
         let mut machine = StateMachine::default();
         for entry in &store.recovered().entries {
             if let Payload::Command(bytes) = &entry.payload {
@@ -97,49 +100,61 @@
                 machine.apply(entry.log_time_ms, &command);
             }
         }
-        let whole = began.elapsed();
+        let total = started.elapsed();
         assert_eq!(report.entries as u64, length);
-        println!("recovery: {length} entries: read {read:?}, read and applied {whole:?}");
+        println!("recovery: {length} entries: read {read_time:?}, read and applied {total:?}");
     }
 }
 
-fn table() {
+/// Measures the bytes of a row in the table, and of a row and its edit in a snapshot.
+fn measure_table() {
     let mut machine = StateMachine::default();
-    for number in 0..ROWS {
+    for number in 0..ROW_COUNT {
         machine.apply(number, &edit(number));
     }
     let table = postcard::to_stdvec(&**machine.table()).expect("the table encodes");
-    let all = machine.snapshot().expect("the state encodes");
-    let (row, edit) = (table.len() as u64 / ROWS, all.len() as u64 / ROWS);
-    println!("table: {ROWS} rows: {row} bytes a row, {edit} with its edit in the history");
+    let snapshot = machine.snapshot().expect("the state encodes");
+    let (per_row, per_edit) = (
+        table.len() as u64 / ROW_COUNT,
+        snapshot.len() as u64 / ROW_COUNT,
+    );
+    println!(
+        "table: {ROW_COUNT} rows: {per_row} bytes a row, {per_edit} with its edit in the history"
+    );
 }
 
-fn ledger() {
+/// Measures the memory and snapshot bytes of a call with an answer, and its snapshot bytes once the
+/// answer has expired.
+fn measure_ledger() {
     let limits = Limits {
-        max_answers: CALLS as usize,
+        max_answers: CALL_COUNT as usize,
         ..Limits::default()
     };
     let mut machine = StateMachine::new(limits.clone());
-    let before = resident();
-    for number in 0..CALLS {
+    let before = resident_bytes();
+    for number in 0..CALL_COUNT {
         machine.apply(0, &begin(number));
         machine.apply(0, &finish(number));
     }
-    let held = (resident() - before) / CALLS;
-    let began = Instant::now();
+    let memory_bytes = (resident_bytes() - before) / CALL_COUNT;
+    let started = Instant::now();
     let data = machine.snapshot().expect("the state encodes");
-    let encode = began.elapsed();
-    let began = Instant::now();
+    let encode = started.elapsed();
+    let started = Instant::now();
     drop(StateMachine::restore(&data).expect("the snapshot decodes"));
-    let decode = began.elapsed();
-    let bytes = data.len() as u64 / CALLS;
-    println!("ledger: {CALLS} answered calls of 128 bytes: {held} bytes each in memory");
-    println!("ledger: {bytes} bytes each in a snapshot, written in {encode:?}, read in {decode:?}");
-    machine.apply(limits.answer_window_ms, &begin(CALLS));
+    let decode = started.elapsed();
+    let call_bytes = data.len() as u64 / CALL_COUNT;
+    println!(
+        "ledger: {CALL_COUNT} answered calls of 128 bytes: {memory_bytes} bytes each in memory"
+    );
+    println!(
+        "ledger: {call_bytes} bytes each in a snapshot, written in {encode:?}, read in {decode:?}"
+    );
+    machine.apply(limits.answer_window_ms, &begin(CALL_COUNT));
     let data = machine.snapshot().expect("the state encodes");
     println!(
         "ledger: {} bytes each once the answer is gone",
-        data.len() as u64 / CALLS
+        data.len() as u64 / CALL_COUNT
     );
 }
 
@@ -204,9 +219,9 @@
 }
 
 /// Returns the resident memory of this process, in bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
-    let text = fs::read_to_string("/proc/self/statm").expect("the system tells");
+    let text = fs::read_to_string("/proc/self/statm").expect("the system reports the memory");
     let pages = text
         .split(' ')
         .nth(1)
--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -245,6 +245,7 @@
         })
     }
 
+    /// Returns the open connection or opens one; concurrent calls wait for the attempt in progress.
     async fn open_connection(&self) -> Result<LiveConnection, Error> {
         let mut current = self.shared.open_connection.lock().await;
         if let Some(live) = current.as_ref().filter(|live| !live.is_closed()) {
--- a/crates/transport/src/peer_handshake.rs
+++ b/crates/transport/src/peer_handshake.rs
@@ -89,6 +89,7 @@
     },
 }
 
+/// First message, from the client.
 #[derive(Deserialize, Serialize)]
 struct Hello {
     fleet: String,
@@ -97,12 +98,14 @@
     version: u32,
 }
 
+/// An encoded [`Hello`] with a tag under each key of the client.
 #[derive(Deserialize, Serialize)]
 struct TaggedHello {
     body: Vec<u8>,
     tags: Vec<Tag>,
 }
 
+/// Answer of the server, which accepts or refuses the client.
 #[derive(Deserialize, Serialize)]
 struct Welcome {
     host: String,
@@ -110,10 +113,11 @@
     refusal: Option<Refusal>,
 }
 
+/// An encoded [`Welcome`], the index of the client's key that both share, and a tag under it.
 #[derive(Deserialize, Serialize)]
 struct TaggedWelcome {
     body: Vec<u8>,
-    key: u8,
+    key_index: u8,
     tag: Tag,
 }
 
@@ -192,7 +196,7 @@
     send(&mut frames, &TaggedHello { body, tags }).await?;
     let tagged: TaggedWelcome = receive(&mut frames).await?;
     let key = *keys
-        .get(usize::from(tagged.key))
+        .get(usize::from(tagged.key_index))
         .ok_or(Error::NoSharedKey)?;
     if key.tag(WELCOME_PURPOSE, &[&hello, &tagged.body]) != tagged.tag {
         return Err(Error::NoSharedKey);
@@ -234,7 +238,7 @@
     let outbound = key.derive(TO_CLIENT_PURPOSE, &transcript);
     let answer = TaggedWelcome {
         body,
-        key: index,
+        key_index: index,
         tag,
     };
     send(&mut frames, &answer).await?;
@@ -247,6 +251,7 @@
     })
 }
 
+/// Returns the client's first key that this daemon holds too, and its index in the hello.
 fn find_shared_key<'a>(tagged: &TaggedHello, identity: &'a Identity) -> Option<(u8, &'a Key)> {
     let expected_tags: Vec<(&Key, Tag)> = identity
         .keys
@@ -266,6 +271,7 @@
     None
 }
 
+/// Returns a refusal if the client belongs to another fleet or uses another protocol version.
 fn check_compatibility(hello: &Hello, identity: &Identity) -> Option<Refusal> {
     if hello.fleet != identity.fleet {
         return Some(Refusal::Fleet {
@@ -293,6 +299,7 @@
     Ok(postcard::from_bytes(&frame)?)
 }
 
+/// Switches a connection to authenticated frames, and keeps bytes that were read already.
 fn authenticate_frames<Out, In>(
     frames: HandshakeFrames,
     inbound: Key,
@@ -303,9 +310,9 @@
     In: DeserializeOwned,
 {
     let parts = frames.into_parts();
-    let mut sealed = Framed::new(parts.io, Codec::new(inbound, outbound)).into_parts();
-    sealed.read_buf = parts.read_buf;
-    Framed::from_parts(sealed)
+    let mut authenticated = Framed::new(parts.io, Codec::new(inbound, outbound)).into_parts();
+    authenticated.read_buf = parts.read_buf;
+    Framed::from_parts(authenticated)
 }
 
 async fn send<T: Serialize>(frames: &mut HandshakeFrames, message: &T) -> Result<(), Error> {
--- a/crates/transport/src/raft_store.rs
+++ b/crates/transport/src/raft_store.rs
@@ -67,6 +67,7 @@
     },
 }
 
+/// Content of the format file.
 #[derive(Debug, Deserialize, Serialize)]
 struct Format {
     identity: MemberId,
@@ -168,6 +169,10 @@
         result
     }
 
+    /// Appends a frame to the current segment and syncs it.
+    ///
+    /// A failed append may leave a part of the frame in the file, which is then truncated to its
+    /// former length.
     fn append(&mut self, records: &[Record]) -> Result<(), Error> {
         let frame = disk_frame::encode(&records)?;
         if self.segment_len >= SEGMENT_TARGET_BYTES {
@@ -220,6 +225,7 @@
         }
     }
 
+    /// Continues the log in a new segment file.
     fn start_segment(&mut self) -> Result<(), Error> {
         let file = segment_name(self.generation, self.segment_number + 1);
         let created = self
@@ -235,6 +241,8 @@
         Ok(())
     }
 
+    /// Writes the drafts of a generation, then publishes them, the log file last because its name
+    /// makes the generation valid.
     fn write_generation_files(
         &mut self,
         generation: u64,
@@ -256,6 +264,7 @@
     }
 }
 
+/// Returns the identity in the folder, or stores `new_identity` in an empty folder.
 fn read_or_write_identity(disk: &mut impl Disk, new_identity: MemberId) -> Result<MemberId, Error> {
     let files = disk.list()?;
     if files.iter().any(|file| file == FORMAT_FILE) {
