--- a/crates/transport/src/disk_frame.rs
+++ b/crates/transport/src/disk_frame.rs
@@ -7,6 +7,7 @@
 use serde::de::DeserializeOwned;
 
 const HEADER_BYTES: usize = 16;
+/// Start of each frame, which also lets intact frames be found after a damaged one.
 const MAGIC: [u8; 4] = *b"hhF1";
 
 /// Result of reading a frame at an offset of a file.
--- a/crates/transport/src/peer_handshake.rs
+++ b/crates/transport/src/peer_handshake.rs
@@ -28,6 +28,7 @@
 
 /// Maximum size of a handshake message, which is read before the peer is authenticated.
 const MAX_MESSAGE_BYTES: usize = 1 << 10;
+/// The purposes keep tags and session keys of different uses apart.
 const HELLO_PURPOSE: &str = "hello";
 const NONCE_BYTES: usize = 32;
 const TO_CLIENT_PURPOSE: &str = "to client";
--- a/crates/transport/src/raft_store.rs
+++ b/crates/transport/src/raft_store.rs
@@ -191,6 +191,7 @@
         Ok(())
     }
 
+    /// Returns [`Error::Full`] if the same records may be written again, else [`Error::Io`].
     fn write_error(&self, error: io::Error) -> Error {
         match is_full(&error) && !self.poisoned {
             false => Error::Io(error),
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -52,6 +52,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// Peer that returns gossip messages, or never answers them if `hangs`.
 #[derive(Clone)]
 struct Echo {
     calls: Arc<AtomicUsize>,
--- a/crates/transport/tests/store.rs
+++ b/crates/transport/tests/store.rs
@@ -27,6 +27,8 @@
 
 const IDENTITY: MemberId = MemberId(7);
 
+/// Kind of operation that fails: appends, syncs of files and of the folder, or any operation but
+/// reads and truncations.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Operation {
     Append,
@@ -40,6 +42,7 @@
     synced_bytes: Vec<u8>,
 }
 
+/// State of the disk: `files` as programs see them, `durable_files` as a power loss leaves them.
 #[derive(Default)]
 struct DiskState {
     operations: usize,
@@ -73,11 +76,11 @@
         let mut durable_files = state.durable_files.clone();
         for (name, file) in &mut durable_files {
             let mut bytes = file.synced_bytes.clone();
-            let now = state
+            let current = state
                 .files
                 .get(name)
-                .filter(|now| now.synced_bytes == bytes);
-            let unsynced = now.and_then(|now| now.bytes.get(bytes.len()..));
+                .filter(|current| current.synced_bytes == bytes);
+            let unsynced = current.and_then(|current| current.bytes.get(bytes.len()..));
             bytes.extend(unsynced.unwrap_or_default().iter().take(unsynced_bytes));
             file.bytes.clone_from(&bytes);
             file.synced_bytes = bytes;
