--- a/crates/hibiscushoistd/src/gateway.rs
+++ b/crates/hibiscushoistd/src/gateway.rs
@@ -29,7 +29,7 @@
 use coordination::retry::Policy;
 use coordination::retry::RetryBudgets;
 use platform::caller;
-use platform::caller::Facts;
+use platform::caller::RequestHead;
 use protocol::refusal::NotRun;
 use protocol::refusal::Reason;
 use state::routing::Kind;
@@ -145,7 +145,7 @@
     /// Time at which the answer is broken off.
     pub deadline: Instant,
     /// Decoded headers.
-    pub facts: Facts,
+    pub request_head: RequestHead,
     /// Headers as the caller sent them.
     pub headers: HeaderMap,
     /// HTTP method.
@@ -175,9 +175,9 @@
         let Some(gateway) = context.gateway.clone() else {
             return responses::refuse(&request.id, Reason::UnknownPath);
         };
-        let facts = Facts::read(&request.headers);
-        let id = facts.id.clone();
-        match accept(&context, &gateway, request, facts).await {
+        let request_head = RequestHead::decode(&request.headers);
+        let id = request_head.request_id.clone();
+        match accept(&context, &gateway, request, request_head).await {
             Err(failure) => failure_response(&id, failure),
             Ok(routed) => match gateway_retry::run(&context, &gateway, routed).await {
                 Err(failure) => failure_response(&id, failure),
@@ -193,12 +193,12 @@
     context: &Context,
     gateway: &Gateway,
     mut request: Request,
-    facts: Facts,
+    request_head: RequestHead,
 ) -> Result<RoutedRequest, Failure> {
     let arrived = context.clock.now();
     let snapshot = gateway.routing.fresh(context).ok_or_else(|| {
         let age = gateway.routing.age_ms(context);
-        let details = slog::o!("request" => facts.id.clone(), "age_ms" => age);
+        let details = slog::o!("request" => request_head.request_id.clone(), "age_ms" => age);
         event::emit(&context.log, Event::OutlookStale, details);
         // A host that lost the leader may be the only one that is partitioned, so another host is
         // worth a quick try. A host that never reached a leader probably started together with the
@@ -209,11 +209,11 @@
         };
         retryable_failure(Reason::QuorumAway, after)
     })?;
-    let route = snapshot.index.route(&facts.host, request.uri.path());
+    let route = snapshot.index.route(&request_head.host, request.uri.path());
     let route = route
         .cloned()
         .ok_or(Failure::before_run(Reason::UnknownPath))?;
-    let workspace = workspace(&snapshot, &route, &facts)?;
+    let workspace = workspace(&snapshot, &route, &request_head)?;
     let service = pick_service(&route.targets, rand::random());
     let service = service
         .ok_or(retryable_failure(
@@ -221,7 +221,7 @@
             NO_ROUTING_RETRY_AFTER_MS,
         ))?
         .to_owned();
-    let time_limit_ms = facts
+    let time_limit_ms = request_head
         .deadline_ms
         .unwrap_or(route.timeout_ms)
         .min(route.timeout_ms);
@@ -241,8 +241,8 @@
         arrived,
         body: body.map_err(Failure::before_run)?,
         deadline,
-        resume_after: facts.resumed_after,
-        facts,
+        resume_after: request_head.resumed_after,
+        request_head,
         headers: request.headers,
         method: request.method,
         route,
@@ -256,12 +256,12 @@
 fn workspace(
     snapshot: &Snapshot,
     route: &Route,
-    facts: &Facts,
+    request_head: &RequestHead,
 ) -> Result<Option<Workspace>, Failure> {
     if snapshot.index.table().workspaces.is_empty() || route.public {
         return Ok(None);
     }
-    let key = facts.key.as_ref();
+    let key = request_head.key.as_ref();
     let found = key.and_then(|key| snapshot.index.workspace(key));
     match found {
         None => Err(Failure::before_run(Reason::Unauthorized)),
--- a/crates/hibiscushoistd/src/gateway_answer_log.rs
+++ b/crates/hibiscushoistd/src/gateway_answer_log.rs
@@ -67,7 +67,7 @@
             head_ms: context.clock.now().since(routed.arrived),
             outcome: Outcome::Left,
             placed_ms: answered.sent_at.since(routed.arrived),
-            request: routed.facts.id.clone(),
+            request: routed.request_head.request_id.clone(),
             service: routed.service.clone(),
             status: answered.status().as_u16(),
             table: snapshot.index.table().version,
--- a/crates/hibiscushoistd/src/gateway_attempt.rs
+++ b/crates/hibiscushoistd/src/gateway_attempt.rs
@@ -20,9 +20,9 @@
 use coordination::demand::Demand;
 use coordination::dispatch::InFlight;
 use coordination::retry;
-use platform::answer::Facts;
+use platform::answer::AnswerHead;
 use platform::caller;
-use platform::caller::Forward;
+use platform::caller::ForwardedHeaders;
 use state::routing::Kind;
 use state::time::Instant;
 use transport::connection_pool;
@@ -78,7 +78,7 @@
 pub struct UpstreamAnswer {
     /// Upstream of the request, and the grounds for choosing it.
     pub choice: Choice,
-    facts: Facts,
+    answer_head: AnswerHead,
     connection: PooledConnection,
     response: Response<Incoming>,
     /// Time at which the attempt began.
@@ -92,14 +92,14 @@
     pub fn response_head(&self) -> http::response::Parts {
         let mut response = Response::new(());
         *response.status_mut() = self.response.status();
-        *response.headers_mut() = caller::returned(self.response.headers());
+        *response.headers_mut() = caller::answer_headers(self.response.headers());
         response.into_parts().0
     }
 
     /// Returns the body, its connection, how long the connection may stay open idle afterwards (if
     /// at all), and the guard of the request in flight.
     pub fn into_stream(self) -> (Incoming, PooledConnection, Option<Duration>, InFlightGuard) {
-        let idle_limit = idle_limit(&self.facts);
+        let idle_limit = idle_limit(&self.answer_head);
         (
             self.response.into_body(),
             self.connection,
@@ -137,7 +137,7 @@
     choice: &Choice,
 ) -> Attempt {
     let started_at = context.clock.now();
-    let headers = caller::forwarded(
+    let headers = caller::request_headers(
         &routed.headers,
         &upstream_headers(routed, choice, demand.left_ms),
     );
@@ -178,8 +178,8 @@
         }
         Ok(sent) => sent,
     };
-    let facts = Facts::read(response.status(), response.headers());
-    if facts.is_foreign(&routed.facts.id) {
+    let answer_head = AnswerHead::decode(response.status(), response.headers());
+    if answer_head.is_foreign(&routed.request_head.request_id) {
         return Attempt::Failed {
             may_have_run: true,
             reason: retry::Reason::Crossed,
@@ -187,14 +187,14 @@
     }
     let mut dispatcher = gateway.dispatcher();
     dispatcher.record_answer_head(now, &mut in_flight.handle);
-    if let Some((model, version)) = demand.model.as_ref().zip(facts.weights) {
+    if let Some((model, version)) = demand.model.as_ref().zip(answer_head.weights) {
         dispatcher.record_weights(&in_flight.handle, model.clone(), version);
     }
-    if facts.not_run {
+    if answer_head.not_run {
         dispatcher.record_refusal(now, &in_flight.handle);
         return Attempt::Rejected;
     }
-    if !facts.stamped {
+    if !answer_head.stamped {
         dispatcher.record_failure(now, &in_flight.handle);
         return Attempt::Failed {
             may_have_run: true,
@@ -207,7 +207,7 @@
     drop(dispatcher);
     Attempt::Answered(Box::new(UpstreamAnswer {
         choice: choice.clone(),
-        facts,
+        answer_head,
         connection,
         response,
         sent_at: started_at,
@@ -270,7 +270,7 @@
 }
 
 /// Returns the values of the headers that this host sets on the request to the upstream.
-fn upstream_headers(routed: &RoutedRequest, choice: &Choice, left_ms: u64) -> Forward {
+fn upstream_headers(routed: &RoutedRequest, choice: &Choice, left_ms: u64) -> ForwardedHeaders {
     let workspace = routed.workspace.as_ref();
     let salt = choice.weights.map(|version| {
         let isolated = workspace.filter(|workspace| workspace.isolated);
@@ -279,22 +279,22 @@
             Some(workspace) => format!("w{version}-{}", workspace.name),
         }
     });
-    Forward {
+    ForwardedHeaders {
         expect_upstream: choice.upstream.id.clone(),
         expect_weights: choice.weights,
-        fetch: choice.fetch_from,
+        fetch_from: choice.fetch_from,
         left_ms,
         rank: choice.rank,
         resume_after: routed.resume_after,
         salt,
-        save: choice.save_to,
+        save_to: choice.save_to,
         workspace: workspace.map(|workspace| workspace.name.clone()),
     }
 }
 
 /// Returns how long the connection may stay open idle after the answer, if at all.
-fn idle_limit(facts: &Facts) -> Option<Duration> {
-    let stated = facts.keep_alive_s.map(Duration::from_secs);
+fn idle_limit(answer_head: &AnswerHead) -> Option<Duration> {
+    let stated = answer_head.keep_alive_s.map(Duration::from_secs);
     let idle = stated.map_or(IDLE_LIMIT, |stated| (stated * 4 / 5).min(IDLE_LIMIT));
-    (!facts.last).then_some(idle)
+    (!answer_head.closes).then_some(idle)
 }
--- a/crates/hibiscushoistd/src/gateway_placement.rs
+++ b/crates/hibiscushoistd/src/gateway_placement.rs
@@ -128,7 +128,7 @@
     let snapshot = gateway.routing.latest();
     let service = snapshot.index.service(&routed.service);
     let engine = service.is_some_and(|service| service.engine);
-    let model = routed.facts.model.clone().filter(|_| engine);
+    let model = routed.request_head.model.clone().filter(|_| engine);
     let newest = model.as_ref().and_then(|model| snapshot.weights.get(model));
     let now = context.clock.now();
     let waited = now.since(routed.arrived);
@@ -149,7 +149,7 @@
         memory_tokens: service.and_then(|service| service.memory_tokens),
         newest_weights: newest.copied().unwrap_or_default(),
         model,
-        prompt_tokens: routed.facts.prompt_tokens,
+        prompt_tokens: routed.request_head.prompt_tokens,
         service: routed.service.clone(),
         shared_prefix,
         stores: stores(&snapshot),
@@ -172,7 +172,7 @@
 /// Returns the ID and the length in tokens of the prefix that the request shares with others: all
 /// parts of the prompt but the last, which belongs to this request alone.
 fn shared_prefix(routed: &RoutedRequest) -> Option<(String, u64)> {
-    let parts = &routed.facts.parts;
+    let parts = &routed.request_head.parts;
     let (_, shared) = parts.split_last()?;
     let last = shared.last()?;
     let tokens = shared.iter().map(|part| part.tokens).sum();
--- a/crates/hibiscushoistd/src/gateway_retry.rs
+++ b/crates/hibiscushoistd/src/gateway_retry.rs
@@ -300,7 +300,7 @@
     refusal: Refusal,
 ) -> Failure {
     let details = slog::o!(
-        "request" => routed.facts.id.clone(),
+        "request" => routed.request_head.request_id.clone(),
         "service" => routed.service.clone(),
         "reason" => refusal.to_string(),
         "tried" => progress.tried.len(),
@@ -325,7 +325,7 @@
 /// Logs a failed attempt.
 fn log_failed_attempt(context: &Context, routed: &RoutedRequest, failed_attempt: &FailedAttempt) {
     let details = slog::o!(
-        "request" => routed.facts.id.clone(),
+        "request" => routed.request_head.request_id.clone(),
         "service" => routed.service.clone(),
         "upstream" => failed_attempt.upstream.clone(),
         "reason" => failed_attempt.reason.to_string(),
--- a/crates/hibiscushoistd/src/gateway_stream.rs
+++ b/crates/hibiscushoistd/src/gateway_stream.rs
@@ -131,7 +131,7 @@
                 () = self.caller.closed() => return,
             };
             let details = slog::o!(
-                "request" => self.routed.facts.id.clone(),
+                "request" => self.routed.request_head.request_id.clone(),
                 "reason" => reason.to_string(),
                 "after" => self.routed.resume_after,
                 "resumed" => next.is_some(),
--- a/crates/hibiscushoistd/src/platform_api.rs
+++ b/crates/hibiscushoistd/src/platform_api.rs
@@ -14,8 +14,8 @@
 use crate::respond;
 use coordination::host::Role;
 use coordination::host::Standing;
+use platform::address_list;
 use platform::configuration;
-use platform::directory;
 use platform::path;
 use platform::weights;
 use protocol::refusal::Reason;
@@ -79,7 +79,7 @@
     }
     let lifetime = context.settings.entry.as_ref();
     let lifetime = lifetime.map_or(0, |entry| entry.address_lifetime.as_millis() as u64);
-    match directory::encode(addresses, lifetime) {
+    match address_list::encode(addresses, lifetime) {
         Err(_) => respond::whole(500, TEXT, ""),
         Ok(bytes) => respond::whole(200, JSON, bytes),
     }
--- a/crates/hibiscushoistd/src/steward.rs
+++ b/crates/hibiscushoistd/src/steward.rs
@@ -32,8 +32,8 @@
 use coordination::upstream_load::LoadAggregator;
 use platform::engine;
 use platform::header;
-use platform::listing;
 use platform::path;
+use platform::upstream_list;
 use state::time::Instant;
 use transport::connection_pool::Body;
 use transport::connection_pool::ConnectionPool;
@@ -167,11 +167,11 @@
         let mut next: Option<String> = None;
         for _ in 0..PAGES {
             let path = match &next {
-                None => path::LISTING.to_owned(),
-                Some(page) => format!("{}?page_token={page}", path::LISTING),
+                None => path::UPSTREAM_LIST.to_owned(),
+                Some(page) => format!("{}?page_token={page}", path::UPSTREAM_LIST),
             };
             let answer = self.get(self.list, path, None).await;
-            let page = match answer.map(|bytes| listing::decode(&bytes)) {
+            let page = match answer.map(|bytes| upstream_list::decode(&bytes)) {
                 Some(Ok(page)) => page,
                 Some(Err(error)) => return self.list_failed(error.to_string()),
                 None => return self.list_failed("no answer".to_owned()),
@@ -232,7 +232,8 @@
         );
         tokio::spawn(async move {
             let answer = call.await;
-            let report: Option<Report> = answer.and_then(|bytes| engine::report(&bytes).ok());
+            let report: Option<Report> =
+                answer.and_then(|bytes| engine::decode_report(&bytes).ok());
             let _ = events.send(Event::Reported(id, report)).await;
         });
     }
@@ -326,7 +327,7 @@
     if !reading.is_ok_and(|reading| reading.term == term) {
         return Outcome::Refused;
     }
-    let Ok(body) = engine::order(order, &context.settings.name, term) else {
+    let Ok(body) = engine::encode_order(order, &context.settings.name, term) else {
         return Outcome::Refused;
     };
     let request = Request::post(path::ENGINE_ORDER)
@@ -343,7 +344,7 @@
     {
         Err(error) if error.not_sent() => Outcome::Refused,
         Err(_) => Outcome::Unknown,
-        Ok(response) => engine::outcome(response.status().as_u16()),
+        Ok(response) => engine::order_outcome(response.status().as_u16()),
     }
 }
 
