--- a/crates/fakes/src/connection.rs
+++ b/crates/fakes/src/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that can go silent while it stays open.
+//! A TCP connection that can stall while it stays open.
 
 use std::io;
 use std::pin::Pin;
@@ -13,18 +13,18 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Passes bytes until its number lies below the shared mark, then nothing for good.
+/// Passes bytes until its number is below `silent_below`, and stalls for good from then on.
 pub(crate) struct Connection {
-    /// Holds the number below which connections are silent.
+    /// Number below which the connections of a server are stalled, shared by all of them.
     pub(crate) silent_below: Arc<AtomicU64>,
-    /// Numbers the connection.
+    /// Number of the connection, in the order of acceptance.
     pub(crate) number: u64,
-    /// Holds the connection.
+    /// The underlying TCP connection.
     pub(crate) stream: TcpStream,
 }
 
 impl Connection {
-    fn silent(&self) -> bool {
+    fn is_silent(&self) -> bool {
         self.number < self.silent_below.load(Ordering::Relaxed)
     }
 }
@@ -35,7 +35,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.silent() {
+        if self.is_silent() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
@@ -48,7 +48,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.silent() {
+        if self.is_silent() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
@@ -59,7 +59,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silent() {
+        if self.is_silent() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a model engine, with text that depends only on model, version and prompt.
+//! A fake model engine whose answers depend only on model, weights version and prompt.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -40,45 +40,46 @@
 const BYTES_PER_TOKEN: u64 = 4;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Bounds the changes told in one answer.
-const EVENTS_LIMIT: usize = 10_000;
-/// Bounds how long an engine waits for new changes before it answers with none.
-const EVENTS_WAIT: Duration = Duration::from_millis(5);
+/// Limit of cache events in one response.
+const MAX_EVENTS_PER_RESPONSE: usize = 10_000;
+/// Time that a request for events waits when there are no new ones, and time between two checks
+/// of a load order whether all requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Describes a stand-in engine.
+/// Settings of a fake engine.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Gives the address to serve; port 0 picks a free one.
+    /// Address to listen on; port 0 picks a free one.
     pub address: SocketAddr,
-    /// Bounds the answers, in tokens, whatever the request asks.
+    /// Limit of tokens in an answer, even when the request allows more.
     pub max_answer_tokens: u64,
-    /// Gives the length of the prompt that each block covers, in bytes.
+    /// Length of the prompt that each block covers, in bytes.
     pub block_bytes: u64,
-    /// Bounds the cache, in blocks.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Tells whether orders with an old fencing number are refused.
+    /// Whether orders with a stale fencing token are refused.
     pub checks_fence: bool,
-    /// Bounds the changes that are kept for readers.
+    /// Limit of cache events that are kept for readers.
     pub max_events: usize,
-    /// Gives the time between heartbeats in a stream without tokens.
+    /// Time between heartbeats while a stream has no tokens to send.
     pub heartbeat: Duration,
-    /// Gives the time to load weights.
+    /// Time to load weights when there is no weight store.
     pub load_time: Duration,
-    /// Names the model.
+    /// Name of the model that the engine serves.
     pub model: String,
-    /// Gives the time to compute one block.
+    /// Prefill time of one block.
     pub prefill_time: Duration,
-    /// Bounds the requests that wait.
+    /// Limit of requests that wait for a slot.
     pub queue_limit: usize,
-    /// Gives the time from a crash to serving again.
+    /// Time from a crash until the engine serves again.
     pub restart_time: Duration,
-    /// Bounds the requests that run at once.
+    /// Limit of requests that run at once.
     pub slots: usize,
-    /// Gives the time to compute one token.
+    /// Decode time of one token.
     pub token_time: Duration,
-    /// Names the weights version.
+    /// Version of the weights that the engine starts with.
     pub version: String,
-    /// Gives the address of the weight store, where loads come from one.
+    /// Address of the weight store from which weights are loaded, if any.
     pub weight_store: Option<SocketAddr>,
 }
 
@@ -105,41 +106,41 @@
     }
 }
 
-/// Switches the faults of a stand-in engine.
+/// Faults that a fake engine injects.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Cuts the next stream that reaches this offset, once.
+    /// Offset at which the next stream is disconnected, once.
     pub cut_at: Option<u64>,
-    /// Delays changes of the cache.
+    /// Delay until cache events become visible to readers.
     pub event_delay: Duration,
-    /// Delays reports of load.
+    /// Age of the load reports that the engine returns.
     pub load_report_delay: Duration,
-    /// Loses each change of the cache whose number is a multiple of this; zero loses none.
+    /// Leaves out every cache event whose number is a multiple of this; zero leaves out none.
     pub drop_every_nth: u64,
-    /// Leaves out the finishing piece and the end mark of each answer.
+    /// Whether answers lack the piece with the finish reason and the end marker.
     pub omit_end: bool,
-    /// Crashes the engine when it starts to run a prompt that contains this text.
+    /// Text that crashes the engine when it starts to run a prompt containing it.
     pub poison: Option<String>,
-    /// Repeats the token at this offset in the next stream that reaches it, once.
+    /// Offset whose token the next stream sends twice, once.
     pub repeat_at: Option<u64>,
-    /// Lets the next stream that reaches this offset fall silent for good, once.
+    /// Offset at which the next stream stalls for good without a disconnect, once.
     pub stall_at: Option<u64>,
-    /// Leaves out the token at this offset in the next stream that reaches it, once.
+    /// Offset whose token the next stream leaves out, once.
     pub skip_at: Option<u64>,
-    /// Names another attempt in each piece.
+    /// Whether each piece carries the id of another attempt.
     pub wrong_id: bool,
 }
 
-/// Counts what an engine did.
+/// Counters of a fake engine since its start; crashes do not reset them.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
-    /// Counts the crashes.
+    /// Crashes, requested by a test or caused by a poison prompt.
     pub crashes: u64,
-    /// Counts the prompt blocks that were computed.
+    /// Prompt blocks that were computed rather than found in the cache.
     pub prefilled_blocks: u64,
-    /// Counts the prompts that began to run.
+    /// Prompts that got a slot.
     pub started_prompts: u64,
-    /// Counts the attempts that were stopped by a cancel or a closed connection.
+    /// Attempts whose stream was dropped early, after a cancel or by a closed connection.
     pub stopped_attempts: u64,
 }
 
@@ -147,23 +148,23 @@
     pub(crate) cache: PrefixCache,
     pub(crate) counts: Counts,
     pub(crate) faults: Faults,
-    pub(crate) last: Option<engine::Request>,
-    pub(crate) queued: Queued,
-    pub(crate) running: HashMap<String, watch::Sender<bool>>,
+    pub(crate) last_request: Option<engine::Request>,
+    pub(crate) pending_prefill: PendingPrefill,
+    pub(crate) cancel_senders: HashMap<String, watch::Sender<bool>>,
     pub(crate) state: engine::State,
-    reports: VecDeque<Report>,
+    load_reports: VecDeque<LoadReport>,
 }
 
-/// Counts the blocks of prompts that are not yet computed, by rank.
+/// Prompt blocks that are not yet computed, by priority.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Queued {
+pub(crate) struct PendingPrefill {
     background: u64,
     urgent: u64,
 }
 
-impl Queued {
-    /// Returns the count of the rank that `priority` stands for.
-    pub(crate) fn of(&mut self, priority: u8) -> &mut u64 {
+impl PendingPrefill {
+    /// Returns the count for `priority`; zero is urgent and all others are background.
+    pub(crate) fn at_priority(&mut self, priority: u8) -> &mut u64 {
         match priority {
             0 => &mut self.urgent,
             _ => &mut self.background,
@@ -171,7 +172,7 @@
     }
 }
 
-struct Report {
+struct LoadReport {
     at: Instant,
     load: engine::Load,
 }
@@ -184,18 +185,18 @@
     pub(crate) slots: Slots,
 }
 
-/// Runs a stand-in engine until it is dropped.
+/// A fake engine that serves until it is dropped.
 pub struct Engine {
     server: Arc<Server>,
     shared: Arc<Shared>,
 }
 
 impl Engine {
-    /// Starts an engine.
+    /// Starts an engine with an empty cache.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn start(options: Options) -> io::Result<Self> {
         let shared = Arc::new(Shared::new(options));
         let weak = Arc::downgrade(&shared);
@@ -205,22 +206,23 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns the address.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns what the engine did so far.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts
     }
 
-    /// Cuts every connection, forgets everything and comes back as another incarnation.
+    /// Disconnects every client, clears the cache and all orders, and restarts as a new
+    /// incarnation.
     pub fn crash(&self) {
         Arc::clone(&self.shared).crash();
     }
 
-    /// Changes the switches.
+    /// Changes the faults that the engine injects.
     pub fn update_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut inner = self.shared.lock();
         change(&mut inner.faults);
@@ -228,19 +230,19 @@
         inner.cache.drop_every_nth(every);
     }
 
-    /// Holds still everything the engine does, or lets it go on.
+    /// Pauses all work and responses of the engine, or resumes them.
     pub fn set_frozen(&self, frozen: bool) {
         self.shared.frozen.send_replace(frozen);
     }
 
-    /// Returns the incarnation.
+    /// Returns the current incarnation, which grows by one with each crash.
     pub fn incarnation(&self) -> Incarnation {
         self.shared.lock().state.incarnation
     }
 
-    /// Returns the newest request for a completion, as it was read.
+    /// Returns the last completion request that the engine received.
     pub fn last_request(&self) -> Option<engine::Request> {
-        self.shared.lock().last.clone()
+        self.shared.lock().last_request.clone()
     }
 
     /// Returns how many connections were accepted so far.
@@ -248,17 +250,18 @@
         self.server.accepted_connections()
     }
 
-    /// Makes every open connection silent for good; new ones work.
+    /// Stops all reads and writes on the open connections, without closing them; connections
+    /// that are accepted later work.
     pub fn stall_connections(&self) {
         self.server.stall_connections();
     }
 
-    /// Returns what the engine serves.
+    /// Returns the state that the engine reports: model, version, role and orders.
     pub fn state(&self) -> engine::State {
         self.shared.lock().state.clone()
     }
 
-    /// Returns the text of an answer from `first` to before `end`.
+    /// Returns the text that the engine answers to `prompt`, from token `first` to before `end`.
     pub fn text(&self, prompt: &str, first: u64, end: u64) -> String {
         let state = self.state();
         answer_text(&state.model, &state.version, prompt, first, end)
@@ -272,7 +275,8 @@
     }
 }
 
-/// Returns the text that any stand-in gives for `prompt`, from token `first` to before `end`.
+/// Returns the text that every fake engine with this model and version answers to `prompt`, from
+/// token `first` to before `end`.
 pub fn answer_text(model: &str, version: &str, prompt: &str, first: u64, end: u64) -> String {
     let digest = Digest::of(&[model.as_bytes(), version.as_bytes(), prompt.as_bytes()]);
     (first..end).map(|i| format!("w{digest}-{i} ")).collect()
@@ -291,10 +295,10 @@
             cache: PrefixCache::new(options.cache_blocks, options.max_events),
             counts: Counts::default(),
             faults: Faults::default(),
-            last: None,
-            queued: Queued::default(),
-            reports: VecDeque::new(),
-            running: HashMap::new(),
+            last_request: None,
+            pending_prefill: PendingPrefill::default(),
+            load_reports: VecDeque::new(),
+            cancel_senders: HashMap::new(),
             state,
         };
         let slots = Slots::new(options.slots);
@@ -308,7 +312,7 @@
     }
 
     /// Waits while the engine is frozen.
-    pub(crate) async fn thaw(&self) {
+    pub(crate) async fn wait_while_frozen(&self) {
         let mut frozen = self.frozen.subscribe();
         let _ = frozen.wait_for(|frozen| !frozen).await;
     }
@@ -332,7 +336,7 @@
             inner.state.fence = 0;
             inner.state.loading = None;
             inner.state.order = None;
-            inner.reports.clear();
+            inner.load_reports.clear();
         }
         tokio::spawn(async move {
             tokio::time::sleep(self.options.restart_time).await;
@@ -343,8 +347,8 @@
         });
     }
 
-    /// Puts the identity of the engine on a response.
-    pub(crate) fn sign(&self, mut response: Response<Body>) -> Response<Body> {
+    /// Adds the headers with the incarnation and the weights version.
+    pub(crate) fn add_identity_headers(&self, mut response: Response<Body>) -> Response<Body> {
         let inner = self.lock();
         let incarnation = inner.state.incarnation.0.into();
         let headers = response.headers_mut();
@@ -355,8 +359,8 @@
         response
     }
 
-    /// Keeps a report of the load as it is now.
-    pub(crate) fn observe(&self) {
+    /// Records the current load, and drops reports that `load_report_delay` no longer needs.
+    pub(crate) fn record_load(&self) {
         let (running, waiting) = (self.slots.running(), self.slots.waiting());
         let mut inner = self.lock();
         let load = engine::Load {
@@ -367,8 +371,8 @@
             incarnation: inner.state.incarnation,
             model: inner.state.model.clone(),
             prefill_rate: self.prefill_rate(),
-            queued_background_tokens: inner.queued.background * self.block_tokens(),
-            queued_urgent_tokens: inner.queued.urgent * self.block_tokens(),
+            queued_background_tokens: inner.pending_prefill.background * self.block_tokens(),
+            queued_urgent_tokens: inner.pending_prefill.urgent * self.block_tokens(),
             running: running as u64,
             serving: inner.state.loading.is_none(),
             slots: self.options.slots as u64,
@@ -376,11 +380,11 @@
             waiting: waiting as u64,
         };
         let at = Instant::now();
-        inner.reports.push_back(Report { at, load });
+        inner.load_reports.push_back(LoadReport { at, load });
         let lag = inner.faults.load_report_delay;
-        let told = |r: &Report| r.at.elapsed() >= lag;
-        while inner.reports.len() > 1 && told(&inner.reports[1]) {
-            inner.reports.pop_front();
+        let old_enough = |r: &LoadReport| r.at.elapsed() >= lag;
+        while inner.load_reports.len() > 1 && old_enough(&inner.load_reports[1]) {
+            inner.load_reports.pop_front();
         }
     }
 
@@ -395,30 +399,30 @@
     }
 
     fn load(&self) -> engine::Load {
-        self.observe();
+        self.record_load();
         let inner = self.lock();
         let lag = inner.faults.load_report_delay;
         let age_ms = u64::try_from(lag.as_millis()).unwrap_or(u64::MAX);
-        let load = inner.reports[0].load.clone();
+        let load = inner.load_reports[0].load.clone();
         engine::Load { age_ms, ..load }
     }
 
     fn cancel(&self, cancel: &engine::Cancel) -> engine::Cancelled {
         let inner = self.lock();
-        let sender = inner.running.get(&cancel.id);
+        let sender = inner.cancel_senders.get(&cancel.id);
         let found = sender.is_some_and(|sender| sender.send(true).is_ok());
         engine::Cancelled { found }
     }
 
     async fn events(&self, query: &str) -> engine::Events {
-        let after = number(query, "after").unwrap_or(0);
+        let after = query_number(query, "after").unwrap_or(0);
         let delay = self.lock().faults.event_delay;
         if self.lock().cache.newest_seq(delay) <= after {
-            tokio::time::sleep(EVENTS_WAIT).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let inner = self.lock();
         engine::Events {
-            events: inner.cache.events(after, delay, EVENTS_LIMIT),
+            events: inner.cache.events(after, delay, MAX_EVENTS_PER_RESPONSE),
             incarnation: inner.state.incarnation,
             newest: inner.cache.newest_seq(delay),
             version: inner.state.version.clone(),
@@ -439,7 +443,7 @@
         self: Arc<Self>,
         order: engine::Order,
     ) -> Result<engine::State, engine::Refusal> {
-        let incarnation = self.accept(&order)?;
+        let incarnation = self.accept_order(&order)?;
         if let Action::Load {
             adapter,
             model,
@@ -447,10 +451,10 @@
         } = order.action
         {
             while self.slots.running() > 0 || self.slots.waiting() > 0 {
-                tokio::time::sleep(EVENTS_WAIT).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             let fetched = self.fetch_weights(&model, &version).await;
-            self.thaw().await;
+            self.wait_while_frozen().await;
             let mut inner = self.lock();
             if inner.state.incarnation != incarnation {
                 return Err(refusal(Code::Unavailable));
@@ -477,7 +481,7 @@
         }
     }
 
-    fn accept(&self, order: &engine::Order) -> Result<Incarnation, engine::Refusal> {
+    fn accept_order(&self, order: &engine::Order) -> Result<Incarnation, engine::Refusal> {
         let mut inner = self.lock();
         let state = &mut inner.state;
         if self.options.checks_fence && order.fence < state.fence {
@@ -498,7 +502,7 @@
         Ok(state.incarnation)
     }
 
-    /// Returns the engine's own keys of the content of `prompt`.
+    /// Returns the content hashes of the blocks of `prompt`, computed by the engine itself.
     pub(crate) fn content_hashes(&self, salt: &str, prompt: &str) -> Vec<BlockHash> {
         let inner = self.lock();
         let root = BlockHash::root(salt, &inner.state.model, &inner.state.version);
@@ -512,7 +516,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Disconnect> {
     let shared = shared.upgrade().ok_or(Disconnect)?;
-    shared.thaw().await;
+    shared.wait_while_frozen().await;
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or("").to_owned();
     let response = match (request.method(), path.as_str()) {
@@ -525,42 +529,42 @@
             server::json(200, &state)
         }
         (&Method::GET, engine::CACHE_SNAPSHOT_PATH) => server::json(200, &shared.snapshot()),
-        (&Method::POST, engine::CANCEL_PATH) => match read(request).await? {
+        (&Method::POST, engine::CANCEL_PATH) => match read_json(request).await? {
             Some(cancel) => server::json(200, &shared.cancel(&cancel)),
-            None => refuse(refusal(Code::BadRequest)),
+            None => refusal_response(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::COMPLETIONS_PATH) => match read(request).await? {
-            Some(asked) => match engine_stream::open(&shared, asked) {
+        (&Method::POST, engine::COMPLETIONS_PATH) => match read_json(request).await? {
+            Some(request) => match engine_stream::open(&shared, request) {
                 Ok(response) => response,
-                Err(code) => refuse(refusal(code)),
+                Err(code) => refusal_response(refusal(code)),
             },
-            None => refuse(refusal(Code::BadRequest)),
+            None => refusal_response(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::KV_EXPORT_PATH) => match read(request).await? {
-            Some(transfer) => moved(engine_kv::export(&shared, transfer).await),
-            None => refuse(refusal(Code::BadRequest)),
+        (&Method::POST, engine::KV_EXPORT_PATH) => match read_json(request).await? {
+            Some(transfer) => transfer_response(engine_kv::export(&shared, transfer).await),
+            None => refusal_response(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::KV_IMPORT_PATH) => match read(request).await? {
-            Some(transfer) => moved(engine_kv::import(&shared, transfer).await),
-            None => refuse(refusal(Code::BadRequest)),
+        (&Method::POST, engine::KV_IMPORT_PATH) => match read_json(request).await? {
+            Some(transfer) => transfer_response(engine_kv::import(&shared, transfer).await),
+            None => refusal_response(refusal(Code::BadRequest)),
         },
-        (&Method::POST, engine::ORDERS_PATH) => match read(request).await? {
+        (&Method::POST, engine::ORDERS_PATH) => match read_json(request).await? {
             Some(order) => match tokio::spawn(Arc::clone(&shared).order(order)).await {
                 Ok(Ok(state)) => server::json(200, &state),
-                Ok(Err(refusal)) => refuse(refusal),
+                Ok(Err(refusal)) => refusal_response(refusal),
                 Err(_) => return Err(Disconnect),
             },
-            None => refuse(refusal(Code::BadRequest)),
+            None => refusal_response(refusal(Code::BadRequest)),
         },
-        _ => refuse(refusal(Code::UnknownPath)),
+        _ => refusal_response(refusal(Code::UnknownPath)),
     };
-    shared.thaw().await;
-    Ok(shared.sign(response))
+    shared.wait_while_frozen().await;
+    Ok(shared.add_identity_headers(response))
 }
 
-fn moved(result: Result<engine::Transferred, Code>) -> Response<Body> {
+fn transfer_response(result: Result<engine::Transferred, Code>) -> Response<Body> {
     match result {
-        Err(code) => refuse(refusal(code)),
+        Err(code) => refusal_response(refusal(code)),
         Ok(transferred) => server::json(200, &transferred),
     }
 }
@@ -569,11 +573,13 @@
     engine::Refusal { code, fence: None }
 }
 
-fn refuse(refusal: engine::Refusal) -> Response<Body> {
+fn refusal_response(refusal: engine::Refusal) -> Response<Body> {
     server::json(refusal.code.status(), &refusal)
 }
 
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Result<Option<T>, Disconnect> {
+async fn read_json<T: DeserializeOwned>(
+    request: Request<Incoming>,
+) -> Result<Option<T>, Disconnect> {
     let body = request
         .into_body()
         .collect()
@@ -582,7 +588,7 @@
     Ok(serde_json::from_slice(&body.to_bytes()).ok())
 }
 
-fn number(query: &str, key: &str) -> Option<u64> {
+fn query_number(query: &str, key: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(k, _)| *k == key)?.1.parse().ok()
 }
--- a/crates/fakes/src/engine_kv.rs
+++ b/crates/fakes/src/engine_kv.rs
@@ -1,4 +1,4 @@
-//! How the stand-in engine moves blocks to and from the kept-KV store.
+//! Transfers of blocks between the fake engine and the KV store.
 
 use hyper::Method;
 
@@ -12,10 +12,10 @@
 use protocol::kv_store::BLOCKS_PATH;
 use protocol::kv_store::StoredBlock;
 
-/// Writes the blocks that the engine holds.
-pub(crate) async fn export(shared: &Shared, asked: Transfer) -> Result<Transferred, Code> {
+/// Writes leading blocks of the transfer to the store, up to the first that is not cached.
+pub(crate) async fn export(shared: &Shared, transfer: Transfer) -> Result<Transferred, Code> {
     let mut blocks = Vec::new();
-    for name in asked.blocks {
+    for name in transfer.blocks {
         let stored = {
             let inner = shared.lock();
             let version = inner.state.version.clone();
@@ -25,7 +25,7 @@
         let Some(stored) = stored else { break };
         let body = serde_json::to_vec(&stored).map_err(|_| Code::BadRequest)?;
         let path = format!("{BLOCKS_PATH}{}", block::format(name));
-        match send(asked.store, Method::PUT, path, body).await {
+        match send(transfer.store, Method::PUT, path, body).await {
             Ok((200, _)) => blocks.push(name),
             _ => return Err(Code::Unavailable),
         }
@@ -33,12 +33,12 @@
     Ok(Transferred { blocks })
 }
 
-/// Reads leading blocks until the store lacks one.
-pub(crate) async fn import(shared: &Shared, asked: Transfer) -> Result<Transferred, Code> {
+/// Reads leading blocks of the transfer into the cache, up to the first that the store lacks.
+pub(crate) async fn import(shared: &Shared, transfer: Transfer) -> Result<Transferred, Code> {
     let mut chain: Vec<BlockKey> = Vec::new();
-    for name in asked.blocks {
+    for name in transfer.blocks {
         let path = format!("{BLOCKS_PATH}{}", block::format(name));
-        let stored: StoredBlock = match send(asked.store, Method::GET, path, Vec::new()).await {
+        let stored: StoredBlock = match send(transfer.store, Method::GET, path, Vec::new()).await {
             Err(_) => return Err(Code::Unavailable),
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| Code::Unavailable)?,
             Ok(_) => break,
@@ -51,6 +51,6 @@
         chain.push(BlockKey { content, name });
         inner.cache.store(&chain);
     }
-    let blocks = chain.iter().map(|named| named.name).collect();
+    let blocks = chain.iter().map(|key| key.name).collect();
     Ok(Transferred { blocks })
 }
--- a/crates/fakes/src/engine_stream.rs
+++ b/crates/fakes/src/engine_stream.rs
@@ -1,4 +1,4 @@
-//! The streamed answers of the stand-in engine.
+//! Streamed answers of the fake engine.
 
 use std::sync::Arc;
 
@@ -28,63 +28,65 @@
 use protocol::engine::Usage;
 use state::ident::Incarnation;
 
-/// Holds one attempt while it runs.
-struct Run {
-    asked: engine::Request,
+/// One attempt at a request, from its queueing to the end of its stream.
+struct Attempt {
+    request: engine::Request,
     cancelled: watch::Receiver<bool>,
     chain: Vec<BlockKey>,
-    end: u64,
+    end_offset: u64,
     incarnation: Incarnation,
-    next: u64,
+    next_offset: u64,
     permit: Option<Permit>,
-    queued: BoxFuture<'static, Permit>,
-    ready: Instant,
+    permit_wait: BoxFuture<'static, Permit>,
+    stage_ready_at: Instant,
     shared: Arc<Shared>,
     stage: Stage,
     usage: Option<Usage>,
 }
 
-/// Tells what an attempt does next.
+/// What an attempt does next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    /// Sends tokens.
+    /// Sends one token after another.
     Decode,
     /// Sends nothing more.
     Done,
-    /// Sends the end mark.
-    Mark,
-    /// Computes the block of this index.
+    /// Sends the end marker.
+    EndMarker,
+    /// Computes the prompt block with this index.
     Prefill(usize),
     /// Waits for a slot.
     Waiting,
 }
 
-/// Opens the stream that answers `asked`.
-pub(crate) fn open(shared: &Arc<Shared>, asked: engine::Request) -> Result<Response<Body>, Code> {
-    let run = Run::new(shared, asked)?;
-    let stream = stream::unfold(run, |mut run| async move {
-        let frame = run.step().await;
-        frame.map(|frame| (frame, run))
+/// Queues `request` and returns the response that streams its answer.
+pub(crate) fn open(shared: &Arc<Shared>, request: engine::Request) -> Result<Response<Body>, Code> {
+    let attempt = Attempt::new(shared, request)?;
+    let stream = stream::unfold(attempt, |mut attempt| async move {
+        let frame = attempt.step().await;
+        frame.map(|frame| (frame, attempt))
     });
     let response = Response::builder().header("content-type", "text/event-stream");
     let body = StreamBody::new(stream).boxed_unsync();
-    Ok(response.body(body).expect("one header makes a response"))
+    Ok(response
+        .body(body)
+        .expect("a response with one header is valid"))
 }
 
-impl Run {
-    fn new(shared: &Arc<Shared>, asked: engine::Request) -> Result<Self, Code> {
-        let resume = asked.resume.clone().unwrap_or_default();
-        let chain = named(shared, &asked);
+impl Attempt {
+    fn new(shared: &Arc<Shared>, request: engine::Request) -> Result<Self, Code> {
+        let resume = request.resume.clone().unwrap_or_default();
+        let chain = block_chain(shared, &request);
         let mut inner = shared.lock();
-        inner.last = Some(asked.clone());
+        inner.last_request = Some(request.clone());
         let state = &inner.state;
         if state.loading.is_some() {
             return Err(Code::Loading);
         }
-        if asked.model != state.model {
+        if request.model != state.model {
             return Err(Code::UnknownModel);
         }
-        if resume != known(state, &asked.prompt, resume.offset) {
+        if resume != expected_resume(state, &request.prompt, resume.offset) {
             return Err(Code::BadRequest);
         }
         if shared.slots.waiting() >= shared.options.queue_limit {
@@ -92,21 +94,21 @@
         }
         let incarnation = state.incarnation;
         let (cancel, cancelled) = watch::channel(false);
-        inner.running.insert(asked.id.clone(), cancel);
-        *inner.queued.of(asked.priority) += chain.len() as u64;
-        let end = asked.max_tokens.min(shared.options.max_answer_tokens);
+        inner.cancel_senders.insert(request.id.clone(), cancel);
+        *inner.pending_prefill.at_priority(request.priority) += chain.len() as u64;
+        let end_offset = request.max_tokens.min(shared.options.max_answer_tokens);
         let slots = shared.slots.clone();
-        let priority = asked.priority;
+        let priority = request.priority;
         Ok(Self {
-            asked,
+            request,
             cancelled,
             chain,
-            end,
+            end_offset,
             incarnation,
-            next: resume.offset,
+            next_offset: resume.offset,
             permit: None,
-            queued: async move { slots.acquire(priority).await }.boxed(),
-            ready: Instant::now(),
+            permit_wait: async move { slots.acquire(priority).await }.boxed(),
+            stage_ready_at: Instant::now(),
             shared: Arc::clone(shared),
             stage: Stage::Waiting,
             usage: None,
@@ -119,7 +121,7 @@
             let mut cancelled = self.cancelled.clone();
             let shared = Arc::clone(&self.shared);
             let advance = async {
-                shared.thaw().await;
+                shared.wait_while_frozen().await;
                 self.advance().await
             };
             let step = tokio::select! {
@@ -129,16 +131,16 @@
                 () = tokio::time::sleep(heartbeat) => Step::Heartbeat,
             };
             match step {
-                Step::Again => {}
+                Step::Advanced => {}
                 Step::Cancelled => break self.finish(Finish::Cancelled),
                 Step::Disconnect => return Some(Err(Disconnect)),
                 Step::Done => return None,
                 Step::Heartbeat => {
-                    self.shared.thaw().await;
+                    self.shared.wait_while_frozen().await;
                     break ": heartbeat\n\n".to_owned();
                 }
                 Step::Send(text) => break text,
-                Step::Silent => std::future::pending().await,
+                Step::Stall => std::future::pending().await,
             }
         };
         Some(Ok(Frame::data(Bytes::from(text))))
@@ -149,7 +151,7 @@
             Stage::Waiting => self.start().await,
             Stage::Prefill(index) => self.prefill(index).await,
             Stage::Decode => self.decode().await,
-            Stage::Mark => {
+            Stage::EndMarker => {
                 self.stage = Stage::Done;
                 Step::Send(format!("data: {}\n\n", engine::DONE_MARKER))
             }
@@ -158,109 +160,109 @@
     }
 
     async fn start(&mut self) -> Step {
-        self.permit = Some((&mut self.queued).await);
+        self.permit = Some((&mut self.permit_wait).await);
         let (cached, poisoned) = {
             let mut inner = self.shared.lock();
             inner.counts.started_prompts += 1;
             let cached = inner.cache.match_prefix(&self.chain);
-            *inner.queued.of(self.asked.priority) -= cached as u64;
+            *inner.pending_prefill.at_priority(self.request.priority) -= cached as u64;
             self.usage = Some(Usage {
                 cached_blocks: cached as u64,
                 prompt_blocks: self.chain.len() as u64,
             });
             let marker = inner.faults.poison.as_ref();
-            let poisoned = marker.is_some_and(|m| self.asked.prompt.contains(m));
+            let poisoned = marker.is_some_and(|m| self.request.prompt.contains(m));
             (cached, poisoned)
         };
-        self.enter(Stage::Prefill(cached));
+        self.enter_stage(Stage::Prefill(cached));
         if poisoned {
             Arc::clone(&self.shared).crash();
-            return Step::Silent;
+            return Step::Stall;
         }
-        self.shared.observe();
-        Step::Again
+        self.shared.record_load();
+        Step::Advanced
     }
 
-    fn enter(&mut self, stage: Stage) {
+    fn enter_stage(&mut self, stage: Stage) {
         let options = &self.shared.options;
         let time = match stage {
             Stage::Prefill(_) => options.prefill_time,
             Stage::Decode => options.token_time,
-            Stage::Done | Stage::Mark | Stage::Waiting => Duration::ZERO,
+            Stage::Done | Stage::EndMarker | Stage::Waiting => Duration::ZERO,
         };
-        self.ready = Instant::now() + time;
+        self.stage_ready_at = Instant::now() + time;
         self.stage = stage;
     }
 
     async fn prefill(&mut self, index: usize) -> Step {
         if index >= self.chain.len() {
-            self.enter(Stage::Decode);
-            return Step::Again;
+            self.enter_stage(Stage::Decode);
+            return Step::Advanced;
         }
-        tokio::time::sleep_until(self.ready).await;
+        tokio::time::sleep_until(self.stage_ready_at).await;
         let mut inner = self.shared.lock();
         if inner.state.incarnation != self.incarnation {
-            return Step::Silent;
+            return Step::Stall;
         }
         inner.cache.store(&self.chain[..=index]);
         inner.counts.prefilled_blocks += 1;
-        *inner.queued.of(self.asked.priority) -= 1;
+        *inner.pending_prefill.at_priority(self.request.priority) -= 1;
         drop(inner);
-        self.enter(Stage::Prefill(index + 1));
-        Step::Again
+        self.enter_stage(Stage::Prefill(index + 1));
+        Step::Advanced
     }
 
     async fn decode(&mut self) -> Step {
-        if self.next >= self.end {
+        if self.next_offset >= self.end_offset {
             if self.shared.lock().faults.omit_end {
                 self.stage = Stage::Done;
                 return Step::Done;
             }
-            let bounded = self.end >= self.asked.max_tokens;
-            let finish = if bounded {
+            let at_token_limit = self.end_offset >= self.request.max_tokens;
+            let finish = if at_token_limit {
                 Finish::Length
             } else {
                 Finish::Stop
             };
             return Step::Send(self.finish(finish));
         }
-        tokio::time::sleep_until(self.ready).await;
-        self.enter(Stage::Decode);
-        let offset = self.next;
+        tokio::time::sleep_until(self.stage_ready_at).await;
+        self.enter_stage(Stage::Decode);
+        let offset = self.next_offset;
         let mut inner = self.shared.lock();
         let faults = &mut inner.faults;
         if faults.cut_at.take_if(|at| *at == offset).is_some() {
             return Step::Disconnect;
         }
         if faults.stall_at.take_if(|at| *at == offset).is_some() {
-            return Step::Silent;
+            return Step::Stall;
         }
         let skip = faults.skip_at.take_if(|at| *at == offset).is_some();
         let repeat = faults.repeat_at.take_if(|at| *at == offset).is_some();
         drop(inner);
         if !repeat {
-            self.next += 1;
+            self.next_offset += 1;
         }
         if skip {
-            return Step::Again;
+            return Step::Advanced;
         }
-        Step::Send(self.piece(offset, 1, None))
+        Step::Send(self.encode_piece(offset, 1, None))
     }
 
     fn finish(&mut self, finish: Finish) -> String {
-        self.stage = Stage::Mark;
+        self.stage = Stage::EndMarker;
         self.permit = None;
-        self.piece(self.next, 0, Some(finish))
+        self.encode_piece(self.next_offset, 0, Some(finish))
     }
 
-    fn piece(&mut self, offset: u64, tokens: u64, finish: Option<Finish>) -> String {
+    fn encode_piece(&mut self, offset: u64, tokens: u64, finish: Option<Finish>) -> String {
         let inner = self.shared.lock();
         let state = &inner.state;
-        let prompt = &self.asked.prompt;
+        let prompt = &self.request.prompt;
         let (model, version) = (&state.model, &state.version);
         let id = match inner.faults.wrong_id {
-            false => self.asked.id.clone(),
-            true => format!("not-{}", self.asked.id),
+            false => self.request.id.clone(),
+            true => format!("not-{}", self.request.id),
         };
         let piece = Piece {
             finish,
@@ -270,57 +272,59 @@
             tokens,
             usage: self.usage.take(),
         };
-        let text = serde_json::to_string(&piece).expect("a piece is JSON");
+        let text = serde_json::to_string(&piece).expect("a piece serializes to JSON");
         format!("data: {text}\n\n")
     }
 }
 
-impl Drop for Run {
+impl Drop for Attempt {
     fn drop(&mut self) {
         self.permit = None;
         let mut inner = self.shared.lock();
-        inner.running.remove(&self.asked.id);
-        let left = match self.stage {
+        inner.cancel_senders.remove(&self.request.id);
+        let uncomputed = match self.stage {
             Stage::Waiting => self.chain.len(),
             Stage::Prefill(index) => self.chain.len() - index.min(self.chain.len()),
-            Stage::Decode | Stage::Done | Stage::Mark => 0,
+            Stage::Decode | Stage::Done | Stage::EndMarker => 0,
         };
-        *inner.queued.of(self.asked.priority) -= left as u64;
+        *inner.pending_prefill.at_priority(self.request.priority) -= uncomputed as u64;
         if self.stage != Stage::Done {
             inner.counts.stopped_attempts += 1;
         }
     }
 }
 
-/// Tells what came of one step.
+/// Outcome of one step of an attempt.
 enum Step {
-    /// Means that the attempt moved on without output.
-    Again,
-    /// Means that the attempt was cancelled.
+    /// The attempt advanced without output.
+    Advanced,
+    /// The attempt was cancelled.
     Cancelled,
-    /// Means that the connection is to be cut.
+    /// The connection has to be closed.
     Disconnect,
-    /// Means that the body is over.
+    /// The body is complete.
     Done,
-    /// Means that nothing happened for a while.
+    /// No output was due within the heartbeat interval.
     Heartbeat,
-    /// Means that this text is to be sent.
+    /// This text has to be sent.
     Send(String),
-    /// Means that nothing is to be sent ever again.
-    Silent,
+    /// Nothing is sent any more, and the connection stays open.
+    Stall,
 }
 
-fn known(state: &engine::State, prompt: &str, offset: u64) -> Resume {
+/// Returns the only resume point at `offset` that the engine accepts for `prompt`.
+fn expected_resume(state: &engine::State, prompt: &str, offset: u64) -> Resume {
     let text = answer_text(&state.model, &state.version, prompt, 0, offset);
     Resume { offset, text }
 }
 
-fn named(shared: &Shared, asked: &engine::Request) -> Vec<BlockKey> {
-    if asked.cache.block_bytes != shared.options.block_bytes {
+/// Returns the keys of the blocks of the prompt, or none when the caller uses another block size.
+fn block_chain(shared: &Shared, request: &engine::Request) -> Vec<BlockKey> {
+    if request.cache.block_bytes != shared.options.block_bytes {
         return Vec::new();
     }
-    let content_hashes = shared.content_hashes(&asked.cache.salt, &asked.prompt);
-    let pairs = asked.cache.blocks.iter().zip(content_hashes);
+    let content_hashes = shared.content_hashes(&request.cache.salt, &request.prompt);
+    let pairs = request.cache.blocks.iter().zip(content_hashes);
     pairs
         .map(|(name, content)| BlockKey {
             content,
--- a/crates/fakes/src/http_client.rs
+++ b/crates/fakes/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One small HTTP exchange of a stand-in with another.
+//! A minimal HTTP client for requests between fakes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +12,11 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Sends a request and returns status and body.
+/// Sends a request on a new connection and returns the status and the body.
+///
+/// # Errors
+///
+/// Returns an error when connecting fails or the response does not arrive whole.
 pub(crate) async fn send(
     address: SocketAddr,
     method: Method,
--- a/crates/fakes/src/kv_store.rs
+++ b/crates/fakes/src/kv_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the kept-KV store.
+//! A fake KV store, which keeps KV-cache blocks outside the engines.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -26,7 +26,7 @@
 
 type Blocks = Mutex<BTreeMap<BlockHash, StoredBlock>>;
 
-/// Runs a stand-in store until it is dropped.
+/// A fake KV store that serves until it is dropped.
 pub struct KvStore {
     blocks: Arc<Blocks>,
     server: Server,
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let blocks = Arc::new(Blocks::default());
         let weak = Arc::downgrade(&blocks);
@@ -46,22 +46,22 @@
         Ok(Self { blocks, server })
     }
 
-    /// Returns the address.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Drops a block, as a store does that runs out of room.
+    /// Removes a block, as a store does that runs out of space.
     pub fn evict(&self, name: BlockHash) {
         lock(&self.blocks).remove(&name);
     }
 
-    /// Lists the names of the blocks.
+    /// Returns the hashes of the stored blocks.
     pub fn block_hashes(&self) -> Vec<BlockHash> {
         lock(&self.blocks).keys().copied().collect()
     }
 
-    /// Cuts every connection and refuses new ones.
+    /// Closes the listener and every connection at once; new connections are refused.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stands in for upstreams and the platform in tests and in the demo.
+//! Fake upstreams, stores and a fake platform for tests and the demo.
 //!
-//! Each stand-in serves its contract on a loopback address of the calling process and has
-//! switches for the faults of its kind.
+//! Each fake runs in the process of its caller, serves the HTTP contract of what it replaces on a
+//! loopback address and can inject the faults that are typical of it.
 
 mod connection;
 pub mod engine;
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of upstream hosts, which may lag.
+//! A fake of the platform's list of hosts, which may show changes late.
 
 use std::collections::VecDeque;
 use std::io;
@@ -30,21 +30,21 @@
 #[derive(Default)]
 struct Inner {
     lag: Duration,
-    listings: VecDeque<(Instant, HostList)>,
+    host_lists: VecDeque<(Instant, HostList)>,
 }
 
-/// Runs a stand-in list until it is dropped.
+/// A fake platform that serves its host list until it is dropped.
 pub struct Platform {
     server: Server,
     shared: Arc<Shared>,
 }
 
 impl Platform {
-    /// Starts an empty list on `address`; port 0 picks a free one.
+    /// Starts a platform with an empty list on `address`; port 0 picks a free one.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let weak = Arc::downgrade(&shared);
@@ -53,33 +53,37 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns the address.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Shows changes only after `lag`.
+    /// Sets the time until a change shows in the served list.
     pub fn set_lag(&self, lag: Duration) {
         lock(&self.shared.inner).lag = lag;
     }
 
-    /// Lists a host, or takes it off the list.
+    /// Lists a host with `standing`, or removes it from the list when that is `None`. Either
+    /// makes a new edition.
     pub fn set_host(&self, address: IpAddr, standing: Option<Standing>) {
         let mut inner = lock(&self.shared.inner);
         let now = Instant::now();
-        if inner.listings.is_empty() {
-            inner.listings.push_back((now, HostList::default()));
+        if inner.host_lists.is_empty() {
+            inner.host_lists.push_back((now, HostList::default()));
         }
-        let newest = inner.listings.back().map(|(_, listing)| listing.clone());
-        let mut listing = newest.unwrap_or_default();
-        listing.edition += 1;
-        listing.hosts.retain(|host| host.address != address);
+        let newest = inner
+            .host_lists
+            .back()
+            .map(|(_, host_list)| host_list.clone());
+        let mut host_list = newest.unwrap_or_default();
+        host_list.edition += 1;
+        host_list.hosts.retain(|host| host.address != address);
         let host = standing.map(|standing| Host { address, standing });
-        listing.hosts.extend(host);
-        inner.listings.push_back((now, listing));
+        host_list.hosts.extend(host);
+        inner.host_lists.push_back((now, host_list));
     }
 
-    /// Cuts every connection and refuses new ones.
+    /// Closes the listener and every connection at once; new connections are refused.
     pub fn stop(&self) {
         self.server.stop();
     }
@@ -89,9 +93,12 @@
     let shared = shared.upgrade().ok_or(Disconnect)?;
     let mut inner = lock(&shared.inner);
     let lag = inner.lag;
-    while inner.listings.len() > 1 && inner.listings[1].0.elapsed() >= lag {
-        inner.listings.pop_front();
+    while inner.host_lists.len() > 1 && inner.host_lists[1].0.elapsed() >= lag {
+        inner.host_lists.pop_front();
     }
-    let listing = inner.listings.front().map(|(_, listing)| listing.clone());
-    Ok(server::json(200, &listing.unwrap_or_default()))
+    let host_list = inner
+        .host_lists
+        .front()
+        .map(|(_, host_list)| host_list.clone());
+    Ok(server::json(200, &host_list.unwrap_or_default()))
 }
--- a/crates/fakes/src/prefix_cache.rs
+++ b/crates/fakes/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of a stand-in engine and the log of its changes.
+//! The prefix cache of a fake engine and the log of its changes.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,15 +11,18 @@
 use protocol::engine::Event;
 use state::ident::BlockHash;
 
-/// Holds a bounded set of blocks and evicts the least recently used.
+/// A set of KV-cache blocks with a bounded size that evicts the least recently used block and logs
+/// each change as a numbered event.
 #[derive(Debug)]
 pub struct PrefixCache {
     blocks: HashMap<BlockHash, CachedBlock>,
     capacity: usize,
+    /// Logical time, which advances with each use of a block.
     clock: u64,
     drop_every_nth: u64,
     log: VecDeque<LogEntry>,
     max_events: usize,
+    /// Number of the last change.
     seq: u64,
 }
 
@@ -27,6 +30,7 @@
 struct CachedBlock {
     content: BlockHash,
     parent: Option<BlockHash>,
+    /// Logical time of the last use.
     last_use: u64,
 }
 
@@ -36,17 +40,20 @@
     event: Event,
 }
 
-/// Pairs the name that the caller gave a block with the engine's own key of its content.
+/// The two hashes that identify a block: the caller's and the engine's own.
+///
+/// A block counts as cached only when both match, so a caller that reuses the hash of another
+/// workspace's block does not get that block.
 #[derive(Clone, Copy, Debug)]
 pub struct BlockKey {
-    /// Holds the engine's own key.
+    /// Hash that the engine computes itself from salt, model, version and prompt.
     pub content: BlockHash,
-    /// Holds the caller's name.
+    /// Hash that the caller sent for the block, which appears in events.
     pub name: BlockHash,
 }
 
 impl PrefixCache {
-    /// Returns an empty cache for `capacity` blocks that keeps the last `retained` changes.
+    /// Returns an empty cache for `capacity` blocks that keeps the last `max_events` events.
     pub fn new(capacity: usize, max_events: usize) -> Self {
         Self {
             blocks: HashMap::new(),
@@ -59,40 +66,40 @@
         }
     }
 
-    /// Drops every block.
+    /// Removes all blocks and logs one event for it.
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.append(Change::Cleared, None, None);
     }
 
-    /// Returns the content key of a block.
+    /// Returns the content hash of a block, when the block is cached.
     pub fn content_hash(&self, name: BlockHash) -> Option<BlockHash> {
         self.blocks.get(&name).map(|cached| cached.content)
     }
 
-    /// Returns the changes after `after` that are at least `delay` old.
+    /// Returns up to `limit` events with a number above `after` that are at least `delay` old.
     pub fn events(&self, after: u64, delay: Duration, limit: usize) -> Vec<Event> {
         let visible = self.log.iter().take_while(|l| l.at.elapsed() >= delay);
         let new = visible.map(|l| l.event).filter(|e| e.seq > after);
         new.take(limit).collect()
     }
 
-    /// Returns how many blocks are held.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Returns whether no block is held.
+    /// Returns whether the cache has no blocks.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Loses each `every`th change from now on; zero loses none.
+    /// Leaves events whose number is a multiple of `every` out of the log; zero leaves out none.
     pub fn drop_every_nth(&mut self, every: u64) {
         self.drop_every_nth = every;
     }
 
-    /// Returns how many leading blocks of `chain` are held, and marks them as used.
+    /// Returns how many leading blocks of `chain` are cached, and marks them as recently used.
     pub fn match_prefix(&mut self, chain: &[BlockKey]) -> usize {
         let cached = |n: &&BlockKey| self.content_hash(n.name) == Some(n.content);
         let count = chain.iter().take_while(cached).count();
@@ -100,18 +107,18 @@
         count
     }
 
-    /// Returns the number of the newest change that is at least `delay` old.
+    /// Returns the number of the newest event that is at least `delay` old, or zero.
     pub fn newest_seq(&self, delay: Duration) -> u64 {
         let visible = self.log.iter().take_while(|l| l.at.elapsed() >= delay);
         visible.last().map_or(0, |l| l.event.seq)
     }
 
-    /// Returns the number of the last change.
+    /// Returns the number of the last change, including events left out of the log.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Lists the blocks, parents before children.
+    /// Returns all cached blocks, parents before children.
     pub fn snapshot(&self) -> Vec<Entry> {
         let mut cached: Vec<_> = self.blocks.iter().collect();
         cached.sort_by_key(|(name, _)| (self.depth(**name), **name));
@@ -122,7 +129,8 @@
         cached.into_iter().map(entry).collect()
     }
 
-    /// Stores the last block of `chain`.
+    /// Stores the last block of `chain`, marks the whole chain as recently used and evicts blocks
+    /// beyond the capacity.
     pub fn store(&mut self, chain: &[BlockKey]) {
         let Some(last) = chain.last() else { return };
         let parent = chain.len().checked_sub(2).map(|i| chain[i].name);
@@ -172,10 +180,12 @@
         self.append(Change::Evicted, Some(name), cached.and_then(|h| h.parent));
     }
 
+    /// Marks the blocks as recently used, the last first, so that children are evicted before
+    /// their parents.
     fn touch(&mut self, chain: &[BlockKey]) {
-        for named in chain.iter().rev() {
+        for key in chain.iter().rev() {
             self.clock += 1;
-            if let Some(cached) = self.blocks.get_mut(&named.name) {
+            if let Some(cached) = self.blocks.get_mut(&key.name) {
                 cached.last_use = self.clock;
             }
         }
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server on one loopback address that can crash and come back.
+//! A small HTTP server on one address that can crash and restart.
 
 use std::convert::Infallible;
 use std::io;
@@ -29,50 +29,50 @@
 
 use crate::connection::Connection;
 
-/// Makes the server close a connection in the middle of an exchange.
+/// An error that makes the server close the connection in the middle of a request.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the connection is cut on purpose")]
+#[error("the fake closed the connection on purpose")]
 pub struct Disconnect;
 
-/// Holds the body of a response, which may be cut.
+/// Body of a response, which may end in a disconnect.
 pub type Body = UnsyncBoxBody<Bytes, Disconnect>;
 
-/// Answers one request.
+/// Handler of a request.
 pub type Handler = Arc<
     dyn Fn(Request<Incoming>) -> BoxFuture<'static, Result<Response<Body>, Disconnect>>
         + Send
         + Sync,
 >;
 
-/// Serves one address until it is stopped or dropped.
+/// An HTTP server on one address that runs until it is stopped or dropped.
 pub struct Server {
     address: SocketAddr,
     accepted_connections: Arc<AtomicU64>,
     handler: Handler,
-    silent: Arc<AtomicU64>,
+    silent_below: Arc<AtomicU64>,
     task: Mutex<Option<JoinHandle<()>>>,
 }
 
 impl Server {
-    /// Starts to serve `address`; port 0 picks a free port.
+    /// Starts a server on `address`; port 0 picks a free port.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn start(address: SocketAddr, handler: Handler) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let server = Self {
             address: listener.local_addr()?,
             accepted_connections: Arc::default(),
             handler,
-            silent: Arc::default(),
+            silent_below: Arc::default(),
             task: Mutex::default(),
         };
         server.serve(listener);
         Ok(server)
     }
 
-    /// Returns the address.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -82,20 +82,21 @@
         self.accepted_connections.load(Ordering::Relaxed)
     }
 
-    /// Serves the address again after [`Self::stop`].
+    /// Listens on the same address again after [`Self::stop`].
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn restart(&self) -> io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
         self.serve(listener);
         Ok(())
     }
 
-    /// Makes every open connection silent for good; new ones work.
+    /// Stops all reads and writes on the open connections, without closing them; connections
+    /// that are accepted later work.
     pub fn stall_connections(&self) {
-        self.silent.store(
+        self.silent_below.store(
             self.accepted_connections.load(Ordering::Relaxed),
             Ordering::Relaxed,
         );
@@ -111,8 +112,13 @@
     fn serve(&self, listener: TcpListener) {
         let accepted_connections = Arc::clone(&self.accepted_connections);
         let handler = Arc::clone(&self.handler);
-        let silent = Arc::clone(&self.silent);
-        let task = tokio::spawn(accept(listener, accepted_connections, silent, handler));
+        let silent_below = Arc::clone(&self.silent_below);
+        let task = tokio::spawn(accept(
+            listener,
+            accepted_connections,
+            silent_below,
+            handler,
+        ));
         if let Some(old) = lock(&self.task).replace(task) {
             old.abort();
         }
@@ -128,7 +134,7 @@
 async fn accept(
     listener: TcpListener,
     accepted_connections: Arc<AtomicU64>,
-    silent: Arc<AtomicU64>,
+    silent_below: Arc<AtomicU64>,
     handler: Handler,
 ) {
     let mut connections = JoinSet::new();
@@ -139,7 +145,7 @@
         };
         let _ = stream.set_nodelay(true);
         let connection = Connection {
-            silent_below: Arc::clone(&silent),
+            silent_below: Arc::clone(&silent_below),
             number: accepted_connections.fetch_add(1, Ordering::Relaxed),
             stream,
         };
@@ -152,22 +158,22 @@
     }
 }
 
-/// Returns a JSON response.
+/// Returns a response with this status and `value` as its JSON body.
 ///
 /// # Panics
 ///
-/// Panics when `value` cannot be written as JSON.
+/// Panics when `value` cannot be serialized to JSON or `status` is no HTTP status.
 pub fn json(status: u16, value: &impl Serialize) -> Response<Body> {
-    let text = serde_json::to_vec(value).expect("a message is JSON");
+    let text = serde_json::to_vec(value).expect("the value serializes to JSON");
     let body = Full::new(Bytes::from(text)).map_err(|never: Infallible| match never {});
     Response::builder()
         .status(status)
         .header("content-type", "application/json")
         .body(body.boxed_unsync())
-        .expect("a status and one header make a response")
+        .expect("a response with a status and one header is valid")
 }
 
-/// Locks `mutex`, also after a panic of another holder.
+/// Locks `mutex`, even if a thread panicked while it held the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service that counts each order it ran.
+//! A fake service that counts how often it ran each order.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,7 +23,7 @@
 use crate::server::lock;
 use protocol::service;
 
-/// Names a fault of a stand-in service.
+/// Fault that a fake service injects into each call.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
     /// Answers with status 503 and says that the call had no effect.
@@ -41,14 +41,14 @@
     None,
 }
 
-/// Answers an order that ran.
+/// Response to an order that ran.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Receipt {
-    /// Names the order.
+    /// Id of the order.
     pub order: String,
-    /// Counts how often the order ran, this time included.
+    /// How often the order ran, including this time.
     pub runs: u64,
-    /// Repeats the body of the call.
+    /// Body of the call.
     pub text: String,
 }
 
@@ -59,7 +59,7 @@
     runs: Mutex<BTreeMap<String, u64>>,
 }
 
-/// Runs a stand-in service until it is dropped.
+/// A fake service that serves until it is dropped.
 pub struct Service {
     server: Server,
     shared: Arc<Shared>,
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let weak = Arc::downgrade(&shared);
@@ -79,47 +79,48 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns the address.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Waits until `count` calls have arrived, whatever became of them.
+    /// Waits until `count` calls have arrived in total, whatever their outcome.
     pub async fn wait_for_calls(&self, count: u64) {
         let mut arrived = self.shared.arrived.subscribe();
         let _ = arrived.wait_for(|a| *a >= count).await;
     }
 
-    /// Returns how many calls arrived.
+    /// Returns how many calls arrived, including those that failed.
     pub fn calls(&self) -> u64 {
         *self.shared.arrived.borrow()
     }
 
-    /// Switches the fault.
+    /// Sets the fault of calls that arrive from now on.
     pub fn set_fault(&self, fault: Fault) {
         *lock(&self.shared.fault) = fault;
     }
 
-    /// Serves again after [`Self::stop`].
+    /// Listens on the same address again after [`Self::stop`].
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.restart().await
     }
 
-    /// Returns how often each order ran.
+    /// Returns how often each order ran, by id.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         lock(&self.shared.runs).clone()
     }
 
-    /// Makes every open connection silent for good; new ones work.
+    /// Stops all reads and writes on the open connections, without closing them; connections
+    /// that are accepted later work.
     pub fn stall_connections(&self) {
         self.server.stall_connections();
     }
 
-    /// Cuts every connection and refuses new ones.
+    /// Closes the listener and every connection at once; new connections are refused.
     pub fn stop(&self) {
         self.server.stop();
     }
@@ -142,7 +143,7 @@
     shared.arrived.send_modify(|count| *count += 1);
     let fault = *lock(&shared.fault);
     match fault {
-        Fault::Declines => return Ok(declined()),
+        Fault::Declines => return Ok(declined_response()),
         Fault::Fails => return Ok(server::json(500, &"failed")),
         Fault::HangsBefore => return std::future::pending().await,
         Fault::HangsAfter | Fault::LosesAnswer | Fault::None => {}
@@ -160,9 +161,11 @@
     }
 }
 
-fn declined() -> Response<Body> {
+fn declined_response() -> Response<Body> {
     let mut response = server::json(503, &"declined");
-    let value = service::NOT_RUN_TRUE.parse().expect("a word is a value");
+    let value = service::NOT_RUN_TRUE
+        .parse()
+        .expect("the word is a valid header value");
     response
         .headers_mut()
         .insert(service::NOT_RUN_HEADER, value);
--- a/crates/fakes/src/slots.rs
+++ b/crates/fakes/src/slots.rs
@@ -1,4 +1,4 @@
-//! A bounded count of running requests with a queue in order of priority.
+//! Slots for running requests, with a priority queue of those that wait.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 
 use crate::server::lock;
 
-/// Counts what runs and what waits.
+/// Running requests and the queue of waiting ones.
 #[derive(Debug, Default)]
 struct Inner {
     arrivals: u64,
@@ -22,21 +22,22 @@
     wake: oneshot::Sender<Permit>,
 }
 
-/// Hands out permits, the least priority number first.
+/// A semaphore that hands out permits by priority: the lowest number first, and in order of
+/// arrival within a priority.
 #[derive(Clone, Debug)]
 pub(crate) struct Slots {
     inner: Arc<Mutex<Inner>>,
     limit: usize,
 }
 
-/// Frees its slot when it is dropped.
+/// A slot in use, passed to the next waiting request when it is dropped.
 #[derive(Debug)]
 pub(crate) struct Permit {
     slots: Slots,
 }
 
 impl Slots {
-    /// Returns slots for `limit` requests at once.
+    /// Returns slots for `limit` concurrent requests.
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             inner: Arc::default(),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Waits for a slot.
+    /// Waits for a slot and returns the permit to use it.
     pub(crate) async fn acquire(&self, priority: u8) -> Permit {
         loop {
             let woken = {
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Returns how many requests run.
+    /// Returns how many requests have a slot.
     pub(crate) fn running(&self) -> usize {
         lock(&self.inner).running
     }
 
-    /// Returns how many requests wait.
+    /// Returns how many requests wait for a slot.
     pub(crate) fn waiting(&self) -> usize {
         let inner = lock(&self.inner);
         inner.waiting.iter().filter(|w| !w.wake.is_closed()).count()
--- a/crates/fakes/src/weight_store.rs
+++ b/crates/fakes/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the weight store, which slows down when many load at once.
+//! A fake weight store, which slows down when many loads run at once.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     current: AtomicU32,
 }
 
-/// Runs a stand-in store until it is dropped.
+/// A fake weight store that serves until it is dropped.
 pub struct WeightStore {
     loads: Arc<Loads>,
     server: Server,
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error of binding the address.
+    /// Returns an error when the address cannot be bound.
     pub async fn start(address: SocketAddr, time: Duration, limit: u32) -> io::Result<Self> {
         let loads = Arc::new(Loads::default());
         let counted = Arc::clone(&loads);
@@ -42,17 +42,17 @@
         Ok(Self { loads, server })
     }
 
-    /// Returns the address.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns how many loads ran at once at most.
+    /// Returns the highest number of loads that ran at the same time.
     pub fn max_concurrent_loads(&self) -> u32 {
         self.loads.max_concurrent.load(Ordering::SeqCst)
     }
 
-    /// Cuts every connection and refuses new ones.
+    /// Closes the listener and every connection at once; new connections are refused.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/fakes/tests/common/mod.rs
+++ b/crates/fakes/tests/common/mod.rs
@@ -25,7 +25,7 @@
     }
 }
 
-pub async fn engine(change: impl FnOnce(&mut Options)) -> (Engine, Client) {
+pub async fn start_engine(change: impl FnOnce(&mut Options)) -> (Engine, Client) {
     let mut options = Options {
         block_bytes: BLOCK_BYTES,
         ..Options::default()
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug, Default, PartialEq)]
-pub struct Read {
+pub struct StreamedAnswer {
     pub ended: bool,
     pub finish: Option<Finish>,
     pub ids: Vec<String>,
@@ -65,30 +65,33 @@
     pub usage: Option<engine::Usage>,
 }
 
-pub async fn read(client: &Client, request: &engine::Request) -> (Read, Option<Error>) {
-    let mut read = Read::default();
+pub async fn read_answer(
+    client: &Client,
+    request: &engine::Request,
+) -> (StreamedAnswer, Option<Error>) {
+    let mut answer = StreamedAnswer::default();
     let mut stream = match client.complete(request, None).await {
         Ok(stream) => stream,
-        Err(error) => return (read, Some(error)),
+        Err(error) => return (answer, Some(error)),
     };
     loop {
         match stream.next().await {
-            Err(error) => return (read, Some(error)),
-            Ok(None) => return (read, None),
-            Ok(Some(Item::End)) => read.ended = true,
+            Err(error) => return (answer, Some(error)),
+            Ok(None) => return (answer, None),
+            Ok(Some(Item::End)) => answer.ended = true,
             Ok(Some(Item::Heartbeat)) => {}
             Ok(Some(Item::Piece(piece))) => {
-                read.finish = read.finish.or(piece.finish);
-                read.ids.push(piece.id);
-                read.offsets.push(piece.offset);
-                read.text.push_str(&piece.text);
-                read.usage = read.usage.or(piece.usage);
+                answer.finish = answer.finish.or(piece.finish);
+                answer.ids.push(piece.id);
+                answer.offsets.push(piece.offset);
+                answer.text.push_str(&piece.text);
+                answer.usage = answer.usage.or(piece.usage);
             }
         }
     }
 }
 
-pub fn load(fence: u64, version: &str) -> engine::Order {
+pub fn load_order(fence: u64, version: &str) -> engine::Order {
     engine::Order {
         action: engine::Action::Load {
             adapter: None,
@@ -100,7 +103,7 @@
     }
 }
 
-pub fn code<T: std::fmt::Debug>(result: Result<T, Error>) -> Code {
+pub fn refusal_code<T: std::fmt::Debug>(result: Result<T, Error>) -> Code {
     match result {
         Err(Error::Refused { refusal, .. }) => refusal.code,
         other => panic!("{other:?}"),
--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -4,11 +4,11 @@
 
 use assert_matches::assert_matches;
 use common::PROMPT;
-use common::engine;
 use common::limits;
-use common::load;
-use common::read;
+use common::load_order;
+use common::read_answer;
 use common::request;
+use common::start_engine;
 use tokio::time::Duration;
 
 use fakes::engine::Faults;
@@ -30,44 +30,44 @@
 
 #[tokio::test]
 async fn an_answer_has_every_offset_a_finish_and_an_end_mark() {
-    let (engine, client) = engine(|_| {}).await;
-    let (read, error) = read(&client, &request("w", PROMPT)).await;
+    let (engine, client) = start_engine(|_| {}).await;
+    let (answer, error) = read_answer(&client, &request("w", PROMPT)).await;
     assert!(error.is_none(), "{error:?}");
-    assert_eq!(read.text, engine.text(PROMPT, 0, 8));
-    assert_eq!(read.offsets, (0..=8).collect::<Vec<_>>());
-    assert_eq!(read.finish, Some(Finish::Length));
-    assert!(read.ended);
+    assert_eq!(answer.text, engine.text(PROMPT, 0, 8));
+    assert_eq!(answer.offsets, (0..=8).collect::<Vec<_>>());
+    assert_eq!(answer.finish, Some(Finish::Length));
+    assert!(answer.ended);
     let usage = engine::Usage {
         cached_blocks: 0,
         prompt_blocks: 2,
     };
-    assert_eq!(read.usage, Some(usage));
+    assert_eq!(answer.usage, Some(usage));
 }
 
 #[tokio::test]
 async fn an_answer_resumes_at_an_offset_on_another_engine() {
-    let (first, _) = engine(|_| {}).await;
-    let (_second, client) = engine(|_| {}).await;
+    let (first, _) = start_engine(|_| {}).await;
+    let (_second, client) = start_engine(|_| {}).await;
     let mut request = request("w", PROMPT);
     request.resume = Some(engine::Resume {
         offset: 3,
         text: first.text(PROMPT, 0, 3),
     });
-    let (read, error) = read(&client, &request).await;
+    let (answer, error) = read_answer(&client, &request).await;
     assert!(error.is_none(), "{error:?}");
-    assert_eq!(read.text, first.text(PROMPT, 3, 8));
-    assert_eq!(read.offsets, (3..=8).collect::<Vec<_>>());
+    assert_eq!(answer.text, first.text(PROMPT, 3, 8));
+    assert_eq!(answer.offsets, (3..=8).collect::<Vec<_>>());
 }
 
 #[tokio::test]
 async fn a_resume_with_foreign_text_is_refused() {
-    let (_engine, client) = engine(|_| {}).await;
+    let (_engine, client) = start_engine(|_| {}).await;
     let mut request = request("w", PROMPT);
     request.resume = Some(engine::Resume {
         offset: 1,
         text: "of another answer".to_owned(),
     });
-    let error = read(&client, &request).await.1;
+    let error = read_answer(&client, &request).await.1;
     let code = match error {
         Some(Error::Refused { refusal, .. }) => refusal.code,
         other => panic!("{other:?}"),
@@ -116,65 +116,69 @@
         },
     ];
     for case in cases {
-        let (engine, client) = engine(|_| {}).await;
+        let (engine, client) = start_engine(|_| {}).await;
         engine.update_faults(case.fault);
-        let (read, error) = read(&client, &request("w", PROMPT)).await;
+        let (answer, error) = read_answer(&client, &request("w", PROMPT)).await;
         let name = error.map(|error| match error {
             Error::Disconnected { .. } => "cut",
             Error::InactivityTimeout { .. } => "idle",
             _ => "other",
         });
-        assert_eq!((read.ended, name), (case.ended, case.error));
-        assert_eq!(read.offsets, case.offsets);
+        assert_eq!((answer.ended, name), (case.ended, case.error));
+        assert_eq!(answer.offsets, case.offsets);
     }
 }
 
 #[tokio::test]
 async fn a_crossed_answer_names_another_attempt() {
-    let (engine, client) = engine(|_| {}).await;
+    let (engine, client) = start_engine(|_| {}).await;
     engine.update_faults(|f| f.wrong_id = true);
-    let (read, _) = read(&client, &request("w", PROMPT)).await;
-    assert!(read.ids.iter().all(|id| id == "not-a-1"), "{:?}", read.ids);
+    let (answer, _) = read_answer(&client, &request("w", PROMPT)).await;
+    assert!(
+        answer.ids.iter().all(|id| id == "not-a-1"),
+        "{:?}",
+        answer.ids
+    );
 }
 
 #[tokio::test]
 async fn workspaces_share_no_block_even_under_equal_names() {
-    let (engine, client) = engine(|_| {}).await;
-    read(&client, &request("w", PROMPT)).await;
+    let (engine, client) = start_engine(|_| {}).await;
+    read_answer(&client, &request("w", PROMPT)).await;
     let mut foreign = request("w", PROMPT);
     foreign.cache.salt = "x".to_owned();
-    read(&client, &foreign).await;
+    read_answer(&client, &foreign).await;
     assert_eq!(engine.counts().prefilled_blocks, 4);
 }
 
 #[tokio::test]
 async fn nested_prompts_share_their_leading_blocks() {
-    let (_engine, client) = engine(|_| {}).await;
-    read(&client, &request("w", &PROMPT[..32])).await;
+    let (_engine, client) = start_engine(|_| {}).await;
+    read_answer(&client, &request("w", &PROMPT[..32])).await;
     let longer = format!("{}another block...and a tail", &PROMPT[..32]);
-    let (read, _) = read(&client, &request("w", &longer)).await;
+    let (answer, _) = read_answer(&client, &request("w", &longer)).await;
     let usage = engine::Usage {
         cached_blocks: 2,
         prompt_blocks: 3,
     };
-    assert_eq!(read.usage, Some(usage));
+    assert_eq!(answer.usage, Some(usage));
 }
 
 #[tokio::test]
 async fn events_name_the_blocks_of_the_prompt_in_order() {
-    let (_engine, client) = engine(|o| o.cache_blocks = 2).await;
+    let (_engine, client) = start_engine(|o| o.cache_blocks = 2).await;
     let prompt = "0123456789abcdef".repeat(3);
     let request = request("w", &prompt);
-    read(&client, &request).await;
+    read_answer(&client, &request).await;
     let events = client.events(0).await.unwrap();
-    let told: Vec<_> = events.events.iter().map(|e| (e.seq, e.change)).collect();
+    let numbered_changes: Vec<_> = events.events.iter().map(|e| (e.seq, e.change)).collect();
     let expected = [
         (1, Change::Stored),
         (2, Change::Stored),
         (3, Change::Stored),
         (4, Change::Evicted),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(numbered_changes, expected);
     let names = &request.cache.blocks;
     assert_eq!(events.events[1].block, Some(names[1]));
     assert_eq!(events.events[1].parent, Some(names[0]));
@@ -188,10 +192,10 @@
 
 #[tokio::test]
 async fn lost_events_leave_a_gap_in_the_numbers() {
-    let (engine, client) = engine(|_| {}).await;
+    let (engine, client) = start_engine(|_| {}).await;
     engine.update_faults(|f| f.drop_every_nth = 2);
     let prompt = "0123456789abcdef".repeat(3);
-    read(&client, &request("w", &prompt)).await;
+    read_answer(&client, &request("w", &prompt)).await;
     let events = client.events(0).await.unwrap();
     let numbers: Vec<_> = events.events.iter().map(|e| e.seq).collect();
     assert_eq!(numbers, [1, 3]);
@@ -199,8 +203,8 @@
 
 #[tokio::test]
 async fn a_crash_brings_an_empty_engine_under_another_incarnation() {
-    let (engine, client) = engine(|_| {}).await;
-    read(&client, &request("w", PROMPT)).await;
+    let (engine, client) = start_engine(|_| {}).await;
+    read_answer(&client, &request("w", PROMPT)).await;
     engine.crash();
     let snapshot = loop {
         match client.snapshot().await {
@@ -214,16 +218,16 @@
 
 #[tokio::test]
 async fn a_poisonous_prompt_crashes_the_engine_each_time() {
-    let (engine, client) = engine(|_| {}).await;
+    let (engine, client) = start_engine(|_| {}).await;
     engine.update_faults(|f| f.poison = Some("0123".to_owned()));
-    let error = read(&client, &request("w", PROMPT)).await.1;
+    let error = read_answer(&client, &request("w", PROMPT)).await.1;
     assert_matches!(error, Some(Error::Disconnected { .. }));
     assert_eq!(engine.counts().crashes, 1);
 }
 
 #[tokio::test]
 async fn another_incarnation_voids_an_attempt_before_any_piece() {
-    let (_engine, client) = engine(|_| {}).await;
+    let (_engine, client) = start_engine(|_| {}).await;
     let planned = EngineIdentity {
         incarnation: Incarnation(7),
         version: "v1".to_owned(),
@@ -235,9 +239,9 @@
 
 #[tokio::test]
 async fn a_load_order_changes_the_version_and_empties_the_cache() {
-    let (_engine, client) = engine(|_| {}).await;
-    read(&client, &request("w", PROMPT)).await;
-    let standing = client.order(&load(3, "v2")).await.unwrap();
+    let (_engine, client) = start_engine(|_| {}).await;
+    read_answer(&client, &request("w", PROMPT)).await;
+    let standing = client.order(&load_order(3, "v2")).await.unwrap();
     assert_eq!((standing.version.as_str(), standing.fence), ("v2", 3));
     let events = client.events(2).await.unwrap();
     assert_eq!(events.events[0].change, Change::Cleared);
@@ -247,9 +251,9 @@
 #[tokio::test]
 async fn an_old_fencing_number_is_refused_or_ignored_as_the_engine_is_made() {
     for (checks_fence, refused) in [(true, true), (false, false)] {
-        let (_engine, client) = engine(|o| o.checks_fence = checks_fence).await;
-        client.order(&load(3, "v2")).await.unwrap();
-        match client.order(&load(2, "v3")).await {
+        let (_engine, client) = start_engine(|o| o.checks_fence = checks_fence).await;
+        client.order(&load_order(3, "v2")).await.unwrap();
+        match client.order(&load_order(2, "v3")).await {
             Err(Error::Refused { refusal, .. }) if refused => {
                 assert_eq!((refusal.code, refusal.fence), (Code::StaleFence, Some(3)));
             }
@@ -260,7 +264,7 @@
 
 #[tokio::test]
 async fn a_load_report_lags() {
-    let (engine, client) = engine(|o| o.token_time = Duration::from_millis(200)).await;
+    let (engine, client) = start_engine(|o| o.token_time = Duration::from_millis(200)).await;
     client.load().await.unwrap();
     engine.update_faults(|f| f.load_report_delay = Duration::from_secs(60));
     let request = request("w", PROMPT);
@@ -275,7 +279,7 @@
 
 #[tokio::test]
 async fn urgent_work_leaves_the_queue_first() {
-    let (engine, client) = engine(|o| {
+    let (engine, client) = start_engine(|o| {
         o.slots = 1;
         o.token_time = Duration::from_millis(5);
     })
@@ -289,7 +293,7 @@
         let mut request = request("w", &format!("priority {priority}"));
         request.priority = priority;
         tasks.spawn(async move {
-            read(&client, &request).await;
+            read_answer(&client, &request).await;
             priority
         });
         while client.load().await.unwrap().waiting < waiting {
@@ -306,7 +310,7 @@
 
 #[tokio::test]
 async fn a_cancel_ends_an_answer_and_frees_its_slot() {
-    let (engine, client) = engine(|o| o.token_time = Duration::from_secs(60)).await;
+    let (engine, client) = start_engine(|o| o.token_time = Duration::from_secs(60)).await;
     let request = request("w", PROMPT);
     let mut stream = client.complete(&request, None).await.unwrap();
     assert_eq!(stream.next().await.unwrap(), Some(Item::Heartbeat));
@@ -325,13 +329,13 @@
 
 #[tokio::test]
 async fn a_frozen_engine_sends_nothing_and_goes_on_later() {
-    let (engine, client) = engine(|_| {}).await;
+    let (engine, client) = start_engine(|_| {}).await;
     engine.set_frozen(true);
-    let hasty = Limits {
+    let short_timeout = Limits {
         head_timeout: Duration::from_millis(50),
         ..limits()
     };
-    let frozen = Client::new(engine.address(), hasty).load().await;
+    let frozen = Client::new(engine.address(), short_timeout).load().await;
     assert_matches!(frozen, Err(Error::InactivityTimeout { .. }));
     engine.set_frozen(false);
     assert!(client.load().await.is_ok());
@@ -339,7 +343,7 @@
 
 #[tokio::test]
 async fn a_silent_connection_is_told_from_a_dead_engine() {
-    let (engine, client) = engine(|o| o.token_time = Duration::from_millis(20)).await;
+    let (engine, client) = start_engine(|o| o.token_time = Duration::from_millis(20)).await;
     let request = request("w", PROMPT);
     let mut stream = client.complete(&request, None).await.unwrap();
     stream.next().await.unwrap();
@@ -407,11 +411,11 @@
     for case in cases {
         let service = Service::start(([127, 0, 0, 1], 0).into()).await.unwrap();
         service.set_fault(case.fault);
-        let hasty = Limits {
+        let short_timeout = Limits {
             head_timeout: Duration::from_millis(100),
             ..limits()
         };
-        let prepared = PreparedCall::open(service.address(), call("o-1"), hasty).await;
+        let prepared = PreparedCall::open(service.address(), call("o-1"), short_timeout).await;
         let outcome = match prepared.unwrap().send().await {
             Ok(answer) => Ok((answer.status, answer.not_run)),
             Err(error) => Err(error.not_run()),
--- a/crates/fakes/tests/stores.rs
+++ b/crates/fakes/tests/stores.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::PROMPT;
-use common::code;
-use common::engine;
 use common::limits;
-use common::load;
-use common::read;
+use common::load_order;
+use common::read_answer;
+use common::refusal_code;
 use common::request;
+use common::start_engine;
 use tokio::time::Duration;
 
 use fakes::kv_store::KvStore;
@@ -21,10 +21,10 @@
 #[tokio::test]
 async fn blocks_move_through_the_store_to_an_engine_of_the_same_weights() {
     let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
-    let (_first, source) = engine(|_| {}).await;
-    let (second, target) = engine(|_| {}).await;
+    let (_first, source) = start_engine(|_| {}).await;
+    let (second, target) = start_engine(|_| {}).await;
     let request = request("w", PROMPT);
-    read(&source, &request).await;
+    read_answer(&source, &request).await;
     let transfer = engine::Transfer {
         blocks: request.cache.blocks.clone(),
         salt: "w".to_owned(),
@@ -35,16 +35,16 @@
     };
     assert_eq!(source.export(&transfer).await.unwrap(), moved);
     assert_eq!(target.import(&transfer).await.unwrap(), moved);
-    read(&target, &request).await;
+    read_answer(&target, &request).await;
     assert_eq!(second.counts().prefilled_blocks, 0);
 }
 
 #[tokio::test]
 async fn each_store_fault_leaves_the_engine_with_what_it_had() {
     let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
-    let (_first, source) = engine(|_| {}).await;
+    let (_first, source) = start_engine(|_| {}).await;
     let request = request("w", PROMPT);
-    read(&source, &request).await;
+    read_answer(&source, &request).await;
     let blocks = request.cache.blocks.clone();
     let transfer = engine::Transfer {
         blocks: blocks.clone(),
@@ -52,10 +52,13 @@
         store: store.address(),
     };
     source.export(&transfer).await.unwrap();
-    let (_other, other) = engine(|o| o.version = "v2".to_owned()).await;
-    assert_eq!(code(other.import(&transfer).await), Code::VersionMismatch);
+    let (_other, other) = start_engine(|o| o.version = "v2".to_owned()).await;
+    assert_eq!(
+        refusal_code(other.import(&transfer).await),
+        Code::VersionMismatch
+    );
     store.evict(blocks[1]);
-    let (_second, target) = engine(|_| {}).await;
+    let (_second, target) = start_engine(|_| {}).await;
     let moved = target.import(&transfer).await.unwrap();
     assert_eq!(moved.blocks, blocks[..1]);
     store.stop();
@@ -65,16 +68,22 @@
     {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(code(target.import(&transfer).await), Code::Unavailable);
-    assert_eq!(code(source.export(&transfer).await), Code::Unavailable);
+    assert_eq!(
+        refusal_code(target.import(&transfer).await),
+        Code::Unavailable
+    );
+    assert_eq!(
+        refusal_code(source.export(&transfer).await),
+        Code::Unavailable
+    );
 }
 
 #[tokio::test]
 async fn a_foreign_workspace_gains_nothing_from_an_imported_block() {
     let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
-    let (engine, client) = engine(|_| {}).await;
+    let (engine, client) = start_engine(|_| {}).await;
     let own = request("w", PROMPT);
-    read(&client, &own).await;
+    read_answer(&client, &own).await;
     let transfer = engine::Transfer {
         blocks: own.cache.blocks.clone(),
         salt: "w".to_owned(),
@@ -84,7 +93,7 @@
     client.import(&transfer).await.unwrap();
     let mut foreign = own.clone();
     foreign.cache.salt = "x".to_owned();
-    read(&client, &foreign).await;
+    read_answer(&client, &foreign).await;
     assert_eq!(engine.counts().prefilled_blocks, 4);
 }
 
@@ -95,14 +104,20 @@
         .await
         .unwrap();
     let address = weights.address();
-    let (_engine, client) = engine(|o| o.weight_store = Some(address)).await;
-    assert_eq!(client.order(&load(1, "v2")).await.unwrap().version, "v2");
+    let (_engine, client) = start_engine(|o| o.weight_store = Some(address)).await;
+    assert_eq!(
+        client.order(&load_order(1, "v2")).await.unwrap().version,
+        "v2"
+    );
     assert_eq!(weights.max_concurrent_loads(), 1);
     weights.stop();
     while tokio::net::TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(code(client.order(&load(2, "v3")).await), Code::Unavailable);
+    assert_eq!(
+        refusal_code(client.order(&load_order(2, "v3")).await),
+        Code::Unavailable
+    );
     let standing = client.state().await.unwrap();
     assert_eq!((standing.version.as_str(), standing.loading), ("v2", None));
 }
