--- a/crates/fakes/tests/common/mod.rs
+++ b/crates/fakes/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine with a client, and what the tests send to it.
+//! A fake engine with a client, and the requests and orders that the tests send to it.
 
 #![allow(dead_code)]
 
@@ -15,9 +15,12 @@
 use transport::upstream::Error;
 use transport::upstream::Limits;
 
+/// Length of the prompt that each block covers, in bytes.
 pub const BLOCK_BYTES: u64 = 16;
+/// A prompt of two whole blocks and a partial one.
 pub const PROMPT: &str = "0123456789abcdef0123456789ABCDEF and a tail";
 
+/// Returns limits with an idle timeout that is short enough for a test of a stalled stream.
 pub fn limits() -> Limits {
     Limits {
         idle_timeout: Duration::from_millis(300),
@@ -25,6 +28,7 @@
     }
 }
 
+/// Starts a fake engine with changed options, and returns it with a client.
 pub async fn start_engine(change: impl FnOnce(&mut Options)) -> (Engine, Client) {
     let mut options = Options {
         block_bytes: BLOCK_BYTES,
@@ -36,6 +40,7 @@
     (engine, client)
 }
 
+/// Returns a request for eight tokens, with the block hashes of `prompt` in `workspace`.
 pub fn request(workspace: &str, prompt: &str) -> engine::Request {
     let blocks =
         BlockHash::root(workspace, "m", "v1").chain(prompt.as_bytes(), BLOCK_BYTES as usize);
@@ -55,6 +60,7 @@
     }
 }
 
+/// The parts of a streamed answer that arrived.
 #[derive(Debug, Default, PartialEq)]
 pub struct StreamedAnswer {
     pub ended: bool,
@@ -65,6 +71,7 @@
     pub usage: Option<engine::Usage>,
 }
 
+/// Reads an answer until it ends or fails, and returns what arrived with the error, if any.
 pub async fn read_answer(
     client: &Client,
     request: &engine::Request,
@@ -91,6 +98,7 @@
     }
 }
 
+/// Returns an order to load `version`, with `fence` as its fencing token.
 pub fn load_order(fence: u64, version: &str) -> engine::Order {
     engine::Order {
         action: engine::Action::Load {
@@ -103,6 +111,7 @@
     }
 }
 
+/// Returns the code of a refusal, and panics on any other result.
 pub fn refusal_code<T: std::fmt::Debug>(result: Result<T, Error>) -> Code {
     match result {
         Err(Error::Refused { refusal, .. }) => refusal.code,
--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -1,4 +1,5 @@
-//! Checks that the stand-ins meet their contracts, and that each fault shows as what it is.
+//! Checks that the fake engine and service meet their contracts, and that a client sees each
+//! injected fault as the failure that it imitates.
 
 mod common;
 
@@ -29,7 +30,7 @@
 use transport::upstream::Limits;
 
 #[tokio::test]
-async fn an_answer_has_every_offset_a_finish_and_an_end_mark() {
+async fn an_answer_has_every_offset_a_finish_reason_and_an_end_marker() {
     let (engine, client) = start_engine(|_| {}).await;
     let (answer, error) = read_answer(&client, &request("w", PROMPT)).await;
     assert!(error.is_none(), "{error:?}");
@@ -44,6 +45,7 @@
     assert_eq!(answer.usage, Some(usage));
 }
 
+/// Retries in the middle of a stream rely on engines that give the same text for the same prompt.
 #[tokio::test]
 async fn an_answer_resumes_at_an_offset_on_another_engine() {
     let (first, _) = start_engine(|_| {}).await;
@@ -59,8 +61,9 @@
     assert_eq!(answer.offsets, (3..=8).collect::<Vec<_>>());
 }
 
+/// An engine that accepted it would continue the answer of another request.
 #[tokio::test]
-async fn a_resume_with_foreign_text_is_refused() {
+async fn a_resume_with_text_of_another_answer_is_refused() {
     let (_engine, client) = start_engine(|_| {}).await;
     let mut request = request("w", PROMPT);
     request.resume = Some(engine::Resume {
@@ -76,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn each_stream_fault_shows_as_what_it_is() {
+async fn each_stream_fault_reaches_the_client_as_its_own_failure() {
     struct Case {
         ended: bool,
         error: Option<&'static str>,
@@ -130,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn a_crossed_answer_names_another_attempt() {
+async fn the_wrong_id_fault_puts_another_id_into_each_piece() {
     let (engine, client) = start_engine(|_| {}).await;
     engine.update_faults(|f| f.wrong_id = true);
     let (answer, _) = read_answer(&client, &request("w", PROMPT)).await;
@@ -141,8 +144,10 @@
     );
 }
 
+/// Guards against a leak between workspaces: the second caller sends the block hashes of the first,
+/// so that a cache keyed by the sent hash alone would hit.
 #[tokio::test]
-async fn workspaces_share_no_block_even_under_equal_names() {
+async fn workspaces_share_no_cached_block_under_equal_hashes() {
     let (engine, client) = start_engine(|_| {}).await;
     read_answer(&client, &request("w", PROMPT)).await;
     let mut foreign = request("w", PROMPT);
@@ -152,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn nested_prompts_share_their_leading_blocks() {
+async fn prompts_with_a_common_prefix_share_its_blocks() {
     let (_engine, client) = start_engine(|_| {}).await;
     read_answer(&client, &request("w", &PROMPT[..32])).await;
     let longer = format!("{}another block...and a tail", &PROMPT[..32]);
@@ -164,8 +169,10 @@
     assert_eq!(answer.usage, Some(usage));
 }
 
+/// Routers rebuild the cache from events: numbers must have no gap, a child must name its parent,
+/// and eviction must take the last block of the chain first.
 #[tokio::test]
-async fn events_name_the_blocks_of_the_prompt_in_order() {
+async fn events_list_stored_and_evicted_blocks_in_order() {
     let (_engine, client) = start_engine(|o| o.cache_blocks = 2).await;
     let prompt = "0123456789abcdef".repeat(3);
     let request = request("w", &prompt);
@@ -179,17 +186,18 @@
         (4, Change::Evicted),
     ];
     assert_eq!(numbered_changes, expected);
-    let names = &request.cache.blocks;
-    assert_eq!(events.events[1].block, Some(names[1]));
-    assert_eq!(events.events[1].parent, Some(names[0]));
-    assert_eq!(events.events[3].block, Some(names[2]));
+    let hashes = &request.cache.blocks;
+    assert_eq!(events.events[1].block, Some(hashes[1]));
+    assert_eq!(events.events[1].parent, Some(hashes[0]));
+    assert_eq!(events.events[3].block, Some(hashes[2]));
     assert_eq!((events.newest, events.incarnation), (4, Incarnation(1)));
     let snapshot = client.snapshot().await.unwrap();
-    let held: Vec<_> = snapshot.blocks.iter().map(|e| e.block).collect();
-    assert_eq!(held, names[..2]);
+    let cached: Vec<_> = snapshot.blocks.iter().map(|e| e.block).collect();
+    assert_eq!(cached, hashes[..2]);
     assert_eq!(snapshot.seq, 4);
 }
 
+/// A reader detects lost events by the gap and has to fetch a snapshot.
 #[tokio::test]
 async fn lost_events_leave_a_gap_in_the_numbers() {
     let (engine, client) = start_engine(|_| {}).await;
@@ -202,7 +210,7 @@
 }
 
 #[tokio::test]
-async fn a_crash_brings_an_empty_engine_under_another_incarnation() {
+async fn a_crash_empties_the_cache_and_starts_a_new_incarnation() {
     let (engine, client) = start_engine(|_| {}).await;
     read_answer(&client, &request("w", PROMPT)).await;
     engine.crash();
@@ -217,7 +225,7 @@
 }
 
 #[tokio::test]
-async fn a_poisonous_prompt_crashes_the_engine_each_time() {
+async fn a_poison_prompt_crashes_the_engine() {
     let (engine, client) = start_engine(|_| {}).await;
     engine.update_faults(|f| f.poison = Some("0123".to_owned()));
     let error = read_answer(&client, &request("w", PROMPT)).await.1;
@@ -225,8 +233,10 @@
     assert_eq!(engine.counts().crashes, 1);
 }
 
+/// The engine restarted after the request was placed, so its cache is not the one that was planned
+/// for.
 #[tokio::test]
-async fn another_incarnation_voids_an_attempt_before_any_piece() {
+async fn an_unexpected_incarnation_fails_the_attempt_before_any_piece() {
     let (_engine, client) = start_engine(|_| {}).await;
     let planned = EngineIdentity {
         incarnation: Incarnation(7),
@@ -241,15 +251,15 @@
 async fn a_load_order_changes_the_version_and_empties_the_cache() {
     let (_engine, client) = start_engine(|_| {}).await;
     read_answer(&client, &request("w", PROMPT)).await;
-    let standing = client.order(&load_order(3, "v2")).await.unwrap();
-    assert_eq!((standing.version.as_str(), standing.fence), ("v2", 3));
+    let state = client.order(&load_order(3, "v2")).await.unwrap();
+    assert_eq!((state.version.as_str(), state.fence), ("v2", 3));
     let events = client.events(2).await.unwrap();
     assert_eq!(events.events[0].change, Change::Cleared);
     assert_eq!(client.snapshot().await.unwrap().blocks, []);
 }
 
 #[tokio::test]
-async fn an_old_fencing_number_is_refused_or_ignored_as_the_engine_is_made() {
+async fn checks_fence_decides_whether_a_stale_fencing_token_is_refused() {
     for (checks_fence, refused) in [(true, true), (false, false)] {
         let (_engine, client) = start_engine(|o| o.checks_fence = checks_fence).await;
         client.order(&load_order(3, "v2")).await.unwrap();
@@ -263,7 +273,7 @@
 }
 
 #[tokio::test]
-async fn a_load_report_lags() {
+async fn load_reports_are_as_old_as_their_delay() {
     let (engine, client) = start_engine(|o| o.token_time = Duration::from_millis(200)).await;
     client.load().await.unwrap();
     engine.update_faults(|f| f.load_report_delay = Duration::from_secs(60));
@@ -277,16 +287,17 @@
     assert_eq!((load.running, load.age_ms), (1, 0));
 }
 
+/// The background request arrives first, and both wait for the only slot.
 #[tokio::test]
-async fn urgent_work_leaves_the_queue_first() {
+async fn urgent_requests_leave_the_queue_first() {
     let (engine, client) = start_engine(|o| {
         o.slots = 1;
         o.token_time = Duration::from_millis(5);
     })
     .await;
-    let holder = request("w", PROMPT);
-    let mut held = client.complete(&holder, None).await.unwrap();
-    held.next().await.unwrap();
+    let slot_holder = request("w", PROMPT);
+    let mut held_stream = client.complete(&slot_holder, None).await.unwrap();
+    held_stream.next().await.unwrap();
     let mut order = Vec::new();
     let mut tasks = tokio::task::JoinSet::new();
     for (waiting, priority) in [(1, 1), (2, 0)] {
@@ -300,7 +311,7 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
-    drop(held);
+    drop(held_stream);
     while let Some(done) = tasks.join_next().await {
         order.push(done.unwrap());
     }
@@ -328,7 +339,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_engine_sends_nothing_and_goes_on_later() {
+async fn a_frozen_engine_times_out_and_answers_once_resumed() {
     let (engine, client) = start_engine(|_| {}).await;
     engine.set_frozen(true);
     let short_timeout = Limits {
@@ -341,8 +352,9 @@
     assert!(client.load().await.is_ok());
 }
 
+/// A client that took a stalled connection for a dead engine would give up an engine that works.
 #[tokio::test]
-async fn a_silent_connection_is_told_from_a_dead_engine() {
+async fn a_stalled_connection_times_out_while_new_connections_work() {
     let (engine, client) = start_engine(|o| o.token_time = Duration::from_millis(20)).await;
     let request = request("w", PROMPT);
     let mut stream = client.complete(&request, None).await.unwrap();
@@ -358,6 +370,7 @@
     assert!(client.load().await.is_ok());
 }
 
+/// Returns the first attempt at an order.
 fn call(order: &str) -> Call {
     Call {
         attempt: 1,
@@ -369,8 +382,10 @@
     }
 }
 
+/// An order may be retried only when its first run is ruled out; when the answer is lost or never
+/// comes, the outcome must stay unknown.
 #[tokio::test]
-async fn each_service_fault_shows_whether_the_order_ran() {
+async fn each_service_fault_reports_whether_the_order_ran() {
     struct Case {
         fault: Fault,
         outcome: Result<(u16, bool), NotRun>,
--- a/crates/fakes/tests/stores.rs
+++ b/crates/fakes/tests/stores.rs
@@ -1,4 +1,4 @@
-//! Checks the contracts of the stores and of the platform's list, with their faults.
+//! Checks the contracts of the fake stores and of the platform's host list, with their faults.
 
 mod common;
 
@@ -19,7 +19,7 @@
 use protocol::platform;
 
 #[tokio::test]
-async fn blocks_move_through_the_store_to_an_engine_of_the_same_weights() {
+async fn exported_blocks_save_prefill_on_an_engine_with_the_same_weights() {
     let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let (_first, source) = start_engine(|_| {}).await;
     let (second, target) = start_engine(|_| {}).await;
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn each_store_fault_leaves_the_engine_with_what_it_had() {
+async fn transfers_report_another_version_a_lost_block_and_a_stopped_store() {
     let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let (_first, source) = start_engine(|_| {}).await;
     let request = request("w", PROMPT);
@@ -78,8 +78,10 @@
     );
 }
 
+/// Guards against a leak between workspaces: the second caller sends the hashes of imported blocks
+/// with another salt.
 #[tokio::test]
-async fn a_foreign_workspace_gains_nothing_from_an_imported_block() {
+async fn an_imported_block_is_not_shared_with_another_workspace() {
     let store = KvStore::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let (engine, client) = start_engine(|_| {}).await;
     let own = request("w", PROMPT);
@@ -97,6 +99,7 @@
     assert_eq!(engine.counts().prefilled_blocks, 4);
 }
 
+/// An engine that kept the failed load pending would refuse requests and orders from then on.
 #[tokio::test]
 async fn a_failed_load_leaves_the_old_weights_in_service() {
     let time = Duration::from_millis(20);
@@ -118,26 +121,26 @@
         refusal_code(client.order(&load_order(2, "v3")).await),
         Code::Unavailable
     );
-    let standing = client.state().await.unwrap();
-    assert_eq!((standing.version.as_str(), standing.loading), ("v2", None));
+    let state = client.state().await.unwrap();
+    assert_eq!((state.version.as_str(), state.loading), ("v2", None));
 }
 
 #[tokio::test]
-async fn the_list_of_hosts_lags_and_numbers_its_editions() {
+async fn the_host_list_shows_a_change_after_the_lag_as_a_new_edition() {
     let platform = Platform::start(([127, 0, 0, 1], 0).into()).await.unwrap();
     let host = [127, 0, 0, 9].into();
-    let hosts = || transport::platform::fetch_hosts(platform.address(), limits());
+    let fetch_list = || transport::platform::fetch_hosts(platform.address(), limits());
     platform.set_host(host, Some(platform::Standing::Live));
-    assert_eq!(hosts().await.unwrap().edition, 1);
+    assert_eq!(fetch_list().await.unwrap().edition, 1);
     platform.set_lag(Duration::from_secs(60));
     platform.set_host(host, Some(platform::Standing::Leaving));
-    let late = hosts().await.unwrap();
+    let late = fetch_list().await.unwrap();
     assert_eq!(
         (late.edition, late.standing(host)),
         (1, Some(platform::Standing::Live))
     );
     platform.set_lag(Duration::ZERO);
-    let now = hosts().await.unwrap();
+    let now = fetch_list().await.unwrap();
     assert_eq!(
         (now.edition, now.standing(host)),
         (2, Some(platform::Standing::Leaving))
