--- a/crates/hibiscushoistd/src/gateway_answer_log.rs
+++ b/crates/hibiscushoistd/src/gateway_answer_log.rs
@@ -30,18 +30,24 @@
 
 /// Record of one answer, written to the log when it is dropped.
 pub struct AnswerLog {
+    /// Age of the routing snapshot when the answer began.
     age_ms: Option<u64>,
     arrived: Instant,
+    /// Attempts that may have run, with the one that answered.
     attempts: u32,
     choice: Choice,
     context: Arc<Context>,
+    /// Edition of the list of upstreams when the answer began.
     edition: u64,
+    /// Time from the arrival of the request to the head of the answer.
     head_ms: u64,
     outcome: Outcome,
+    /// Time from the arrival of the request to the start of the attempt that was answered.
     placed_ms: u64,
     request: String,
     service: String,
     status: u16,
+    /// Version of the routed table when the answer began.
     table: u64,
     workspace: Option<String>,
 }
--- a/crates/hibiscushoistd/src/gateway_retry.rs
+++ b/crates/hibiscushoistd/src/gateway_retry.rs
@@ -51,10 +51,12 @@
 /// Results of the attempts at one request so far.
 #[derive(Clone, Default)]
 pub struct Progress {
+    /// Failed attempts that may have run; the route limits them.
     attempts: u32,
     /// Weights version that must generate the rest of a resumed answer.
     pub exact_weights: Option<u64>,
     may_have_run: bool,
+    /// Attempts that an upstream rejected without running the request.
     rejections: u32,
     /// IDs of the upstreams whose attempts have failed.
     pub tried: Vec<String>,
