--- a/crates/fakes/src/connection.rs
+++ b/crates/fakes/src/connection.rs
@@ -13,10 +13,10 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Passes bytes until its number is below `silent_below`, and stalls for good from then on.
+/// Passes bytes until its number is below `stalled_below`, and stalls for good from then on.
 pub(crate) struct Connection {
     /// Number below which the connections of a server are stalled, shared by all of them.
-    pub(crate) silent_below: Arc<AtomicU64>,
+    pub(crate) stalled_below: Arc<AtomicU64>,
     /// Number of the connection, in the order of acceptance.
     pub(crate) number: u64,
     /// The underlying TCP connection.
@@ -24,8 +24,8 @@
 }
 
 impl Connection {
-    fn is_silent(&self) -> bool {
-        self.number < self.silent_below.load(Ordering::Relaxed)
+    fn is_stalled(&self) -> bool {
+        self.number < self.stalled_below.load(Ordering::Relaxed)
     }
 }
 
@@ -35,7 +35,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.is_silent() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
@@ -48,7 +48,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.is_silent() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
@@ -59,7 +59,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.is_silent() {
+        if self.is_stalled() {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -150,8 +150,10 @@
     pub(crate) faults: Faults,
     pub(crate) last_request: Option<engine::Request>,
     pub(crate) pending_prefill: PendingPrefill,
+    /// Senders that cancel a waiting or running attempt, by its id.
     pub(crate) cancel_senders: HashMap<String, watch::Sender<bool>>,
     pub(crate) state: engine::State,
+    /// Reports from the one that is served now to the newest.
     load_reports: VecDeque<LoadReport>,
 }
 
@@ -177,6 +179,7 @@
     load: engine::Load,
 }
 
+/// What the handlers of all connections share.
 pub(crate) struct Shared {
     frozen: watch::Sender<bool>,
     inner: Mutex<Inner>,
--- a/crates/fakes/src/engine_kv.rs
+++ b/crates/fakes/src/engine_kv.rs
@@ -15,18 +15,18 @@
 /// Writes leading blocks of the transfer to the store, up to the first that is not cached.
 pub(crate) async fn export(shared: &Shared, transfer: Transfer) -> Result<Transferred, Code> {
     let mut blocks = Vec::new();
-    for name in transfer.blocks {
+    for hash in transfer.blocks {
         let stored = {
             let inner = shared.lock();
             let version = inner.state.version.clone();
-            let content = inner.cache.content_hash(name);
+            let content = inner.cache.content_hash(hash);
             content.map(|content| StoredBlock { content, version })
         };
         let Some(stored) = stored else { break };
         let body = serde_json::to_vec(&stored).map_err(|_| Code::BadRequest)?;
-        let path = format!("{BLOCKS_PATH}{}", block::format(name));
+        let path = format!("{BLOCKS_PATH}{}", block::format(hash));
         match send(transfer.store, Method::PUT, path, body).await {
-            Ok((200, _)) => blocks.push(name),
+            Ok((200, _)) => blocks.push(hash),
             _ => return Err(Code::Unavailable),
         }
     }
@@ -36,8 +36,8 @@
 /// Reads leading blocks of the transfer into the cache, up to the first that the store lacks.
 pub(crate) async fn import(shared: &Shared, transfer: Transfer) -> Result<Transferred, Code> {
     let mut chain: Vec<BlockKey> = Vec::new();
-    for name in transfer.blocks {
-        let path = format!("{BLOCKS_PATH}{}", block::format(name));
+    for hash in transfer.blocks {
+        let path = format!("{BLOCKS_PATH}{}", block::format(hash));
         let stored: StoredBlock = match send(transfer.store, Method::GET, path, Vec::new()).await {
             Err(_) => return Err(Code::Unavailable),
             Ok((200, body)) => serde_json::from_slice(&body).map_err(|_| Code::Unavailable)?,
@@ -48,9 +48,9 @@
             return Err(Code::VersionMismatch);
         }
         let content = stored.content;
-        chain.push(BlockKey { content, name });
+        chain.push(BlockKey { content, hash });
         inner.cache.store(&chain);
     }
-    let blocks = chain.iter().map(|key| key.name).collect();
+    let blocks = chain.iter().map(|key| key.hash).collect();
     Ok(Transferred { blocks })
 }
--- a/crates/fakes/src/engine_stream.rs
+++ b/crates/fakes/src/engine_stream.rs
@@ -32,15 +32,22 @@
 struct Attempt {
     request: engine::Request,
     cancelled: watch::Receiver<bool>,
+    /// Keys of the whole blocks of the prompt, in order.
     chain: Vec<BlockKey>,
+    /// Offset at which the answer ends.
     end_offset: u64,
+    /// Incarnation that accepted the attempt; prefill stops once the engine has another one.
     incarnation: Incarnation,
+    /// Offset of the next token.
     next_offset: u64,
+    /// Slot of the attempt, once it has one.
     permit: Option<Permit>,
     permit_wait: BoxFuture<'static, Permit>,
+    /// Time at which the work of the current stage is done.
     stage_ready_at: Instant,
     shared: Arc<Shared>,
     stage: Stage,
+    /// Usage to send with the next piece.
     usage: Option<Usage>,
 }
 
@@ -326,9 +333,9 @@
     let content_hashes = shared.content_hashes(&request.cache.salt, &request.prompt);
     let pairs = request.cache.blocks.iter().zip(content_hashes);
     pairs
-        .map(|(name, content)| BlockKey {
+        .map(|(hash, content)| BlockKey {
             content,
-            name: *name,
+            hash: *hash,
         })
         .collect()
 }
--- a/crates/fakes/src/kv_store.rs
+++ b/crates/fakes/src/kv_store.rs
@@ -52,8 +52,8 @@
     }
 
     /// Removes a block, as a store does that runs out of space.
-    pub fn evict(&self, name: BlockHash) {
-        lock(&self.blocks).remove(&name);
+    pub fn evict(&self, hash: BlockHash) {
+        lock(&self.blocks).remove(&hash);
     }
 
     /// Returns the hashes of the stored blocks.
@@ -72,8 +72,8 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Disconnect> {
     let blocks = blocks.upgrade().ok_or(Disconnect)?;
-    let name = request.uri().path().strip_prefix(BLOCKS_PATH);
-    let Some(name) = name.and_then(block::parse) else {
+    let hash = request.uri().path().strip_prefix(BLOCKS_PATH);
+    let Some(hash) = hash.and_then(block::parse) else {
         return Ok(server::json(404, &"no such path"));
     };
     if request.method() == Method::PUT {
@@ -83,10 +83,10 @@
             .await
             .map_err(|_| Disconnect)?;
         let stored = serde_json::from_slice(&body.to_bytes()).map_err(|_| Disconnect)?;
-        lock(&blocks).insert(name, stored);
+        lock(&blocks).insert(hash, stored);
         return Ok(server::json(200, &()));
     }
-    match lock(&blocks).get(&name) {
+    match lock(&blocks).get(&hash) {
         None => Ok(server::json(404, &"no such block")),
         Some(stored) => Ok(server::json(200, stored)),
     }
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -30,6 +30,7 @@
 #[derive(Default)]
 struct Inner {
     lag: Duration,
+    /// Host lists with the time of their change, from the one that is served to the newest.
     host_lists: VecDeque<(Instant, HostList)>,
 }
 
--- a/crates/fakes/src/prefix_cache.rs
+++ b/crates/fakes/src/prefix_cache.rs
@@ -49,7 +49,7 @@
     /// Hash that the engine computes itself from salt, model, version and prompt.
     pub content: BlockHash,
     /// Hash that the caller sent for the block, which appears in events.
-    pub name: BlockHash,
+    pub hash: BlockHash,
 }
 
 impl PrefixCache {
@@ -73,8 +73,8 @@
     }
 
     /// Returns the content hash of a block, when the block is cached.
-    pub fn content_hash(&self, name: BlockHash) -> Option<BlockHash> {
-        self.blocks.get(&name).map(|cached| cached.content)
+    pub fn content_hash(&self, hash: BlockHash) -> Option<BlockHash> {
+        self.blocks.get(&hash).map(|cached| cached.content)
     }
 
     /// Returns up to `limit` events with a number above `after` that are at least `delay` old.
@@ -101,7 +101,7 @@
 
     /// Returns how many leading blocks of `chain` are cached, and marks them as recently used.
     pub fn match_prefix(&mut self, chain: &[BlockKey]) -> usize {
-        let cached = |n: &&BlockKey| self.content_hash(n.name) == Some(n.content);
+        let cached = |n: &&BlockKey| self.content_hash(n.hash) == Some(n.content);
         let count = chain.iter().take_while(cached).count();
         self.touch(&chain[..count]);
         count
@@ -121,9 +121,9 @@
     /// Returns all cached blocks, parents before children.
     pub fn snapshot(&self) -> Vec<Entry> {
         let mut cached: Vec<_> = self.blocks.iter().collect();
-        cached.sort_by_key(|(name, _)| (self.depth(**name), **name));
-        let entry = |(name, cached): (&BlockHash, &CachedBlock)| Entry {
-            block: *name,
+        cached.sort_by_key(|(hash, _)| (self.depth(**hash), **hash));
+        let entry = |(hash, cached): (&BlockHash, &CachedBlock)| Entry {
+            block: *hash,
             parent: cached.parent,
         };
         cached.into_iter().map(entry).collect()
@@ -133,14 +133,14 @@
     /// beyond the capacity.
     pub fn store(&mut self, chain: &[BlockKey]) {
         let Some(last) = chain.last() else { return };
-        let parent = chain.len().checked_sub(2).map(|i| chain[i].name);
+        let parent = chain.len().checked_sub(2).map(|i| chain[i].hash);
         let cached = CachedBlock {
             content: last.content,
             parent,
             last_use: 0,
         };
-        if self.blocks.insert(last.name, cached).is_none() {
-            self.append(Change::Stored, Some(last.name), parent);
+        if self.blocks.insert(last.hash, cached).is_none() {
+            self.append(Change::Stored, Some(last.hash), parent);
         }
         self.touch(chain);
         while self.blocks.len() > self.capacity {
@@ -166,18 +166,18 @@
         }
     }
 
-    fn depth(&self, name: BlockHash) -> usize {
-        let parent = |name: &BlockHash| self.blocks.get(name).and_then(|cached| cached.parent);
-        std::iter::successors(parent(&name), parent).count()
+    fn depth(&self, hash: BlockHash) -> usize {
+        let parent = |hash: &BlockHash| self.blocks.get(hash).and_then(|cached| cached.parent);
+        std::iter::successors(parent(&hash), parent).count()
     }
 
     fn evict(&mut self) {
         let oldest = self.blocks.iter().min_by_key(|(_, cached)| cached.last_use);
-        let Some(name) = oldest.map(|(name, _)| *name) else {
+        let Some(hash) = oldest.map(|(hash, _)| *hash) else {
             return;
         };
-        let cached = self.blocks.remove(&name);
-        self.append(Change::Evicted, Some(name), cached.and_then(|h| h.parent));
+        let cached = self.blocks.remove(&hash);
+        self.append(Change::Evicted, Some(hash), cached.and_then(|h| h.parent));
     }
 
     /// Marks the blocks as recently used, the last first, so that children are evicted before
@@ -185,7 +185,7 @@
     fn touch(&mut self, chain: &[BlockKey]) {
         for key in chain.iter().rev() {
             self.clock += 1;
-            if let Some(cached) = self.blocks.get_mut(&key.name) {
+            if let Some(cached) = self.blocks.get_mut(&key.hash) {
                 cached.last_use = self.clock;
             }
         }
--- a/crates/fakes/src/server.rs
+++ b/crates/fakes/src/server.rs
@@ -49,7 +49,8 @@
     address: SocketAddr,
     accepted_connections: Arc<AtomicU64>,
     handler: Handler,
-    silent_below: Arc<AtomicU64>,
+    /// Connections with a lower number are stalled.
+    stalled_below: Arc<AtomicU64>,
     task: Mutex<Option<JoinHandle<()>>>,
 }
 
@@ -65,7 +66,7 @@
             address: listener.local_addr()?,
             accepted_connections: Arc::default(),
             handler,
-            silent_below: Arc::default(),
+            stalled_below: Arc::default(),
             task: Mutex::default(),
         };
         server.serve(listener);
@@ -96,7 +97,7 @@
     /// Stops all reads and writes on the open connections, without closing them; connections
     /// that are accepted later work.
     pub fn stall_connections(&self) {
-        self.silent_below.store(
+        self.stalled_below.store(
             self.accepted_connections.load(Ordering::Relaxed),
             Ordering::Relaxed,
         );
@@ -112,11 +113,11 @@
     fn serve(&self, listener: TcpListener) {
         let accepted_connections = Arc::clone(&self.accepted_connections);
         let handler = Arc::clone(&self.handler);
-        let silent_below = Arc::clone(&self.silent_below);
+        let stalled_below = Arc::clone(&self.stalled_below);
         let task = tokio::spawn(accept(
             listener,
             accepted_connections,
-            silent_below,
+            stalled_below,
             handler,
         ));
         if let Some(old) = lock(&self.task).replace(task) {
@@ -134,7 +135,7 @@
 async fn accept(
     listener: TcpListener,
     accepted_connections: Arc<AtomicU64>,
-    silent_below: Arc<AtomicU64>,
+    stalled_below: Arc<AtomicU64>,
     handler: Handler,
 ) {
     let mut connections = JoinSet::new();
@@ -145,7 +146,7 @@
         };
         let _ = stream.set_nodelay(true);
         let connection = Connection {
-            silent_below: Arc::clone(&silent_below),
+            stalled_below: Arc::clone(&stalled_below),
             number: accepted_connections.fetch_add(1, Ordering::Relaxed),
             stream,
         };
--- a/crates/fakes/src/service.rs
+++ b/crates/fakes/src/service.rs
@@ -54,8 +54,10 @@
 
 #[derive(Default)]
 struct Shared {
+    /// Number of calls that arrived.
     arrived: watch::Sender<u64>,
     fault: Mutex<Fault>,
+    /// How often each order ran, by id.
     runs: Mutex<BTreeMap<String, u64>>,
 }
 
--- a/crates/fakes/src/slots.rs
+++ b/crates/fakes/src/slots.rs
@@ -19,7 +19,7 @@
 struct Waiter {
     arrival: u64,
     priority: u8,
-    wake: oneshot::Sender<Permit>,
+    permit_sender: oneshot::Sender<Permit>,
 }
 
 /// A semaphore that hands out permits by priority: the lowest number first, and in order of
@@ -48,23 +48,23 @@
     /// Waits for a slot and returns the permit to use it.
     pub(crate) async fn acquire(&self, priority: u8) -> Permit {
         loop {
-            let woken = {
+            let permit_receiver = {
                 let mut inner = lock(&self.inner);
                 if inner.running < self.limit {
                     inner.running += 1;
                     return self.permit();
                 }
-                let (wake, woken) = oneshot::channel();
+                let (permit_sender, permit_receiver) = oneshot::channel();
                 inner.arrivals += 1;
                 let arrival = inner.arrivals;
                 inner.waiting.push(Waiter {
                     arrival,
                     priority,
-                    wake,
+                    permit_sender,
                 });
-                woken
+                permit_receiver
             };
-            if let Ok(permit) = woken.await {
+            if let Ok(permit) = permit_receiver.await {
                 return permit;
             }
         }
@@ -78,7 +78,11 @@
     /// Returns how many requests wait for a slot.
     pub(crate) fn waiting(&self) -> usize {
         let inner = lock(&self.inner);
-        inner.waiting.iter().filter(|w| !w.wake.is_closed()).count()
+        inner
+            .waiting
+            .iter()
+            .filter(|w| !w.permit_sender.is_closed())
+            .count()
     }
 
     fn permit(&self) -> Permit {
@@ -92,7 +96,7 @@
         let next = {
             let mut inner = lock(&self.slots.inner);
             inner.running -= 1;
-            inner.waiting.retain(|w| !w.wake.is_closed());
+            inner.waiting.retain(|w| !w.permit_sender.is_closed());
             let first = inner.waiting.iter().enumerate();
             let first = first.min_by_key(|(_, w)| (w.priority, w.arrival));
             let first = first.map(|(index, _)| index);
@@ -101,7 +105,7 @@
             next
         };
         if let Some(waiter) = next {
-            let _ = waiter.wake.send(self.slots.permit());
+            let _ = waiter.permit_sender.send(self.slots.permit());
         }
     }
 }
--- a/crates/fakes/src/weight_store.rs
+++ b/crates/fakes/src/weight_store.rs
@@ -15,6 +15,7 @@
 use crate::server::Disconnect;
 use crate::server::Server;
 
+/// Numbers of loads that run now, and that ran at once at most.
 #[derive(Default)]
 struct Loads {
     max_concurrent: AtomicU32,
