--- a/crates/coordination/examples/measure/cache.rs
+++ b/crates/coordination/examples/measure/cache.rs
@@ -1,4 +1,4 @@
-//! A cache of blocks with a bound, which drops what was used longest ago.
+//! A cache of blocks with a fixed capacity and least-recently-used eviction.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -6,65 +6,67 @@
 use state::cache_directory::Change;
 use state::ident::BlockHash;
 
-/// Holds blocks and the changes that were not published yet.
+/// Cached blocks, and the changes since the last call of [`Cache::publish`].
 pub struct Cache {
-    bound: usize,
+    capacity: usize,
     changes: Vec<Change>,
+    /// Logical time: number of uses of blocks so far.
     clock: u64,
-    order: BTreeSet<(u64, BlockHash)>,
-    used: HashMap<BlockHash, u64>,
+    by_last_use: BTreeSet<(u64, BlockHash)>,
+    last_used: HashMap<BlockHash, u64>,
 }
 
 impl Cache {
-    /// Returns an empty cache of `bound` blocks.
-    pub fn new(bound: usize) -> Self {
+    /// Returns an empty cache for `capacity` blocks.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            bound,
+            capacity,
             changes: Vec::new(),
             clock: 0,
-            order: BTreeSet::new(),
-            used: HashMap::new(),
+            by_last_use: BTreeSet::new(),
+            last_used: HashMap::new(),
         }
     }
 
-    /// Returns all blocks held.
+    /// Returns all cached blocks, the least recently used first.
     pub fn blocks(&self) -> Vec<BlockHash> {
-        self.order.iter().map(|(_, block)| *block).collect()
+        self.by_last_use.iter().map(|(_, block)| *block).collect()
     }
 
-    /// Returns how many leading blocks are held.
-    pub fn depth(&self, blocks: &[BlockHash]) -> u32 {
-        let held = blocks.iter().take_while(|b| self.used.contains_key(b));
-        held.count() as u32
+    /// Returns how many leading blocks of `blocks` are cached.
+    pub fn cached_prefix_len(&self, blocks: &[BlockHash]) -> u32 {
+        let cached = blocks.iter().take_while(|b| self.last_used.contains_key(b));
+        cached.count() as u32
     }
 
-    /// Empties the cache without telling anyone.
-    pub fn lose(&mut self) {
-        *self = Self::new(self.bound);
+    /// Empties the cache without recording any change, as a crash does.
+    pub fn clear(&mut self) {
+        *self = Self::new(self.capacity);
     }
 
-    /// Returns the changes since the last call.
+    /// Returns and forgets the changes since the last call.
     pub fn publish(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Adds blocks, or marks them as used; a parent counts as used after its children.
+    /// Adds blocks or marks them as used, and evicts what exceeds the capacity. A parent counts as
+    /// used after its children, so that the children are evicted first.
     pub fn touch(&mut self, blocks: &[BlockHash]) {
         for block in blocks.iter().rev() {
             self.clock += 1;
-            match self.used.insert(*block, self.clock) {
+            match self.last_used.insert(*block, self.clock) {
                 Some(before) => {
-                    self.order.remove(&(before, *block));
+                    self.by_last_use.remove(&(before, *block));
                 }
                 None => self.changes.push(Change::Stored(*block)),
             }
-            self.order.insert((self.clock, *block));
+            self.by_last_use.insert((self.clock, *block));
         }
-        while self.used.len() > self.bound {
-            let Some((_, block)) = self.order.pop_first() else {
+        while self.last_used.len() > self.capacity {
+            let Some((_, block)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used.remove(&block);
+            self.last_used.remove(&block);
             self.changes.push(Change::Removed(block));
         }
     }
--- a/crates/coordination/examples/measure/main.rs
+++ b/crates/coordination/examples/measure/main.rs
@@ -2,22 +2,22 @@
 //!
 //! `cargo run --release -p coordination --example measure [SEED [POLICY]]`
 
+mod broker_cost;
 mod cache;
 mod engine;
-mod figures;
+mod metrics;
 mod router;
-mod run;
-mod size;
-mod work;
+mod simulation;
+mod workload;
 
 use strum::IntoEnumIterator;
 
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::router::Policy;
-use crate::run::Run;
-use crate::work::BLOCK_TOKENS;
-use crate::work::Deployment;
-use crate::work::Scene;
+use crate::simulation::Simulation;
+use crate::workload::BLOCK_TOKENS;
+use crate::workload::Deployment;
+use crate::workload::Scenario;
 use state::rank::Rank;
 
 const DEFAULT_SEED: u64 = 1;
@@ -27,12 +27,12 @@
         background_capacity: 30.0,
         cache_blocks: 150,
         engines: 9,
-        fan: [2, 6, 8],
-        levels: [8, 3, 1],
+        fan_out: [2, 6, 8],
+        level_blocks: [8, 3, 1],
         name: "Sabaha",
-        output: [600, 30],
+        output_tokens: [600, 30],
         store_blocks: 3_000,
-        tail: [1_500, 150],
+        tail_tokens: [1_500, 150],
         trade: 70,
         urgent_capacity: 450.0,
     },
@@ -40,12 +40,12 @@
         background_capacity: 45.0,
         cache_blocks: 100,
         engines: 18,
-        fan: [2, 10, 12],
-        levels: [4, 1, 1],
+        fan_out: [2, 10, 12],
+        level_blocks: [4, 1, 1],
         name: "Laurentides",
-        output: [800, 40],
+        output_tokens: [800, 40],
         store_blocks: 3_000,
-        tail: [3_000, 100],
+        tail_tokens: [3_000, 100],
         trade: 20,
         urgent_capacity: 900.0,
     },
@@ -54,32 +54,38 @@
 fn main() {
     let seed = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let seed = seed.unwrap_or(DEFAULT_SEED);
-    let only = std::env::args().nth(2);
-    size::directory();
-    size::decisions(&DEPLOYMENTS[0]);
+    let policy_filter = std::env::args().nth(2);
+    broker_cost::directory();
+    broker_cost::decisions(&DEPLOYMENTS[0]);
     println!("\nSeed {seed}, blocks of {BLOCK_TOKENS} tokens.");
     for deployment in &DEPLOYMENTS {
-        let alone = alone(deployment, seed);
-        for scene in [Scene::Steady, Scene::BackgroundFlood, Scene::UrgentFlood] {
-            println!("\n### {}: {scene:?}\n", deployment.name);
-            head();
-            let wanted = |policy: &Policy| only.as_ref().is_none_or(|o| *o == policy.to_string());
+        let idle_p95_ms = idle_p95_ms(deployment, seed);
+        for scenario in [
+            Scenario::Steady,
+            Scenario::BackgroundFlood,
+            Scenario::UrgentFlood,
+        ] {
+            println!("\n### {}: {scenario:?}\n", deployment.name);
+            print_header();
+            let wanted = |p: &Policy| policy_filter.as_ref().is_none_or(|o| *o == p.to_string());
             for policy in Policy::iter().filter(wanted) {
-                let run = Run::new(policy, deployment, scene, seed);
-                row(policy, &Figures::of(&run, scene), alone);
+                let run = Simulation::new(policy, deployment, scenario, seed);
+                print_row(policy, &Metrics::of(&run, scenario), idle_p95_ms);
             }
         }
     }
 }
 
-/// Returns what 95 in 100 requests of small urgent callers take on an otherwise idle fleet.
-fn alone(deployment: &Deployment, seed: u64) -> f64 {
-    let run = Run::new(Policy::Broker, deployment, Scene::Alone, seed);
-    let figures = Figures::of(&run, Scene::Alone);
-    figures.small[Rank::Urgent.index()].first_ms[1]
+/// Returns the 95th percentile of the time to first token of small urgent callers on an otherwise
+/// idle fleet, in milliseconds.
+fn idle_p95_ms(deployment: &Deployment, seed: u64) -> f64 {
+    let run = Simulation::new(Policy::Broker, deployment, Scenario::Alone, seed);
+    let metrics = Metrics::of(&run, Scenario::Alone);
+    metrics.small[Rank::Urgent.index()].first_token_ms[1]
 }
 
-fn head() {
+/// Prints the header of a table.
+fn print_header() {
     println!(
         "| policy | hit % | with import % | of oracle % | wasted % | urgent p50 | p95 | p99 ms \
          | in time /s | % | background p50 | p95 s | whole /s | % | work % | small urgent p95 ms \
@@ -88,29 +94,30 @@
     println!("|---|{}", "--:|".repeat(18));
 }
 
-fn row(policy: Policy, figures: &Figures, alone: f64) {
-    let [background, urgent] = &figures.ranks;
-    let small = &figures.small[Rank::Urgent.index()];
-    let [least, most] = figures.workspaces_percent;
+/// Prints a row of the table: the metrics of one policy.
+fn print_row(policy: Policy, metrics: &Metrics, idle_p95_ms: f64) {
+    let [background, urgent] = &metrics.ranks;
+    let small = &metrics.small[Rank::Urgent.index()];
+    let [least, most] = metrics.workspaces_percent;
     println!(
         "| {policy} | {:.1} | {:.1} | {:.1} | {:.1} | {:.0} | {:.0} | {:.0} | {:.1} | {:.1} \
          | {:.2} | {:.2} | {:.1} | {:.1} | {:.1} | {:.0} | {:.2} | {:.1} | {least:.0}-{most:.0} |",
-        figures.hit_percent,
-        figures.kept_percent,
-        figures.oracle_percent,
-        figures.wasted_percent,
-        urgent.first_ms[0],
-        urgent.first_ms[1],
-        urgent.first_ms[2],
+        metrics.hit_percent,
+        metrics.reused_percent,
+        metrics.oracle_percent,
+        metrics.wasted_percent,
+        urgent.first_token_ms[0],
+        urgent.first_token_ms[1],
+        urgent.first_token_ms[2],
         urgent.goodput,
         urgent.goodput_percent,
-        background.first_ms[0] / 1_000.0,
-        background.first_ms[1] / 1_000.0,
+        background.first_token_ms[0] / 1_000.0,
+        background.first_token_ms[1] / 1_000.0,
         background.goodput,
         background.goodput_percent,
-        figures.background_percent,
-        small.first_ms[1],
-        small.first_ms[1] / alone,
+        metrics.background_percent,
+        small.first_token_ms[1],
+        small.first_token_ms[1] / idle_p95_ms,
         small.goodput_percent,
     );
 }
--- a/crates/coordination/examples/measure/router.rs
+++ b/crates/coordination/examples/measure/router.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared: the broker and three baselines.
+//! The routing policies that are compared: the broker and three baselines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,9 +6,9 @@
 use strum::Display;
 use strum::EnumIter;
 
-use crate::work;
-use crate::work::Deployment;
-use crate::work::Request;
+use crate::workload;
+use crate::workload::Deployment;
+use crate::workload::Request;
 use coordination::broker::Broker;
 use coordination::broker::Effect;
 use coordination::broker::Event;
@@ -23,30 +23,31 @@
 use state::table::Table;
 use state::time::Instant;
 
-const STICKY_LEVELS: usize = 2;
+const STICKY_HASH_LEVELS: usize = 2;
 const WORKSPACES: usize = 8;
 
-/// Names a policy.
+/// A routing policy.
 #[derive(Clone, Copy, Debug, Display, EnumIter, Eq, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum Policy {
-    /// Means the broker of this package.
+    /// The broker of this crate.
     Broker,
-    /// Means the engine with the fewest requests that were sent to it.
+    /// The engine with the fewest requests in flight.
     LeastLoad,
-    /// Means each engine in turn.
+    /// Each engine in turn.
     RoundRobin,
-    /// Means the engine that a hash of the prompt's upper levels names.
+    /// The engine with the highest hash of itself and the upper levels of the prompt (rendezvous
+    /// hashing).
     StickyHash,
 }
 
 /// Chooses engines for requests.
 pub struct Router {
-    /// Holds the broker.
+    /// The broker; idle under the baselines.
     pub broker: Broker,
-    /// Counts the requests sent to each engine.
-    pub inflight: Vec<u32>,
-    /// Tells which engines are thought to run.
+    /// Number of requests in flight at each engine.
+    pub in_flight: Vec<u32>,
+    /// Whether each engine is believed to be up.
     pub usable: Vec<bool>,
     next: usize,
     policy: Policy,
@@ -61,32 +62,33 @@
         broker.step(Instant(0), Event::Table { owned: None, table });
         Self {
             broker,
-            inflight: vec![0; deployment.engines],
+            in_flight: vec![0; deployment.engines],
             next: 0,
             policy,
-            sticky_blocks: deployment.levels[..STICKY_LEVELS].iter().sum(),
+            sticky_blocks: deployment.level_blocks[..STICKY_HASH_LEVELS].iter().sum(),
             usable: vec![true; deployment.engines],
         }
     }
 
-    /// Chooses an engine at once, as the baselines do.
+    /// Chooses an engine under a baseline; returns `None` under the broker, which answers with a
+    /// grant later.
     pub fn choose(&mut self, request: &Request) -> Option<usize> {
         let usable: Vec<usize> = (0..self.usable.len()).filter(|e| self.usable[*e]).collect();
         self.next += 1;
         match self.policy {
             Policy::Broker => None,
-            Policy::LeastLoad => usable.into_iter().min_by_key(|e| (self.inflight[*e], *e)),
+            Policy::LeastLoad => usable.into_iter().min_by_key(|e| (self.in_flight[*e], *e)),
             Policy::RoundRobin => usable.get(self.next % usable.len().max(1)).copied(),
             Policy::StickyHash => {
                 let root = request.blocks[..self.sticky_blocks].last()?;
                 usable
                     .into_iter()
-                    .max_by_key(|engine| mixed(*root, *engine))
+                    .max_by_key(|engine| engine_score(*root, *engine))
             }
         }
     }
 
-    /// Passes an event to the broker, where it is the policy.
+    /// Passes an event to the broker; does nothing under a baseline. `now` is in microseconds.
     pub fn step(&mut self, now: u64, event: Event) -> Vec<Effect> {
         match self.policy {
             Policy::Broker => self.broker.step(Instant(now / 1_000), event),
@@ -95,16 +97,16 @@
     }
 }
 
-/// Returns the ask for a request.
-pub fn ask(
+/// Returns the placement request for a request.
+pub fn placement_request(
     request: &Request,
     placement_id: PlacementId,
     deadline_ms: u64,
     excluded: Vec<String>,
 ) -> PlacementRequest {
-    let whole = request.blocks.len() as u32 * work::BLOCK_TOKENS;
+    let whole = request.blocks.len() as u32 * workload::BLOCK_TOKENS;
     PlacementRequest {
-        block_tokens: work::BLOCK_TOKENS,
+        block_tokens: workload::BLOCK_TOKENS,
         blocks: request.blocks.to_vec(),
         caller: format!("c{}", request.caller),
         deadline_ms,
@@ -112,21 +114,22 @@
         excluded,
         kind: request.rank.to_string(),
         model: "m".to_owned(),
-        output_tokens: request.output,
-        prompt_tokens: whole + request.tail,
+        output_tokens: request.output_tokens,
+        prompt_tokens: whole + request.tail_tokens,
         rank: request.rank,
         placement_id,
         version: None,
-        workspace: work::workspace(request.workspace),
+        workspace: workload::workspace_name(request.workspace),
     }
 }
 
-/// Returns the name of an engine.
-pub fn engine(index: usize) -> String {
+/// Returns the name of an engine, which is its index after one letter.
+pub fn engine_name(index: usize) -> String {
     format!("e{index:02}")
 }
 
-fn mixed(block: BlockHash, engine: usize) -> u128 {
+/// Returns the weight of an engine in rendezvous hashing.
+fn engine_score(block: BlockHash, engine: usize) -> u128 {
     block.child(&engine.to_le_bytes()).0
 }
 
@@ -140,7 +143,7 @@
             (Column::Model, "m"),
             (Column::Type, "engine"),
         ];
-        add(&mut table, Sheet::Upstreams, engine(index), &cells);
+        add(&mut table, Sheet::Upstreams, engine_name(index), &cells);
     }
     let cells = [(Column::Address, "192.0.2.1:2"), (Column::Type, "kv_store")];
     add(&mut table, Sheet::Upstreams, "store".to_owned(), &cells);
@@ -151,7 +154,7 @@
         add(
             &mut table,
             Sheet::Workspaces,
-            work::workspace(index),
+            workload::workspace_name(index),
             &cells,
         );
     }
--- a/crates/coordination/examples/measure/work.rs
+++ b/crates/coordination/examples/measure/workload.rs
@@ -1,4 +1,4 @@
-//! The work of the two deployments: nested prompts, growing sessions, hot prefixes and floods.
+//! Requests of the two deployments: nested prompts, growing sessions, hot prefixes and floods.
 
 use std::rc::Rc;
 
@@ -9,135 +9,141 @@
 use state::ident::BlockHash;
 use state::rank::Rank;
 
-/// Gives the tokens of one cached block.
+/// Number of tokens of a cached block.
 pub const BLOCK_TOKENS: u32 = 4_096;
-/// Gives the length of a run, in microseconds.
-pub const LENGTH_US: u64 = 70 * SECOND_US;
-/// Gives one second.
+/// Time during which requests arrive, in microseconds.
+pub const RUN_LENGTH_US: u64 = 70 * SECOND_US;
+/// One second in microseconds.
 pub const SECOND_US: u64 = 1_000_000;
 
 const FLOOD_END_US: u64 = 60 * SECOND_US;
+/// Rate of the flood as a multiple of the capacity of the fleet.
 const FLOOD_FACTOR: f64 = 5.0;
 const FLOOD_START_US: u64 = 30 * SECOND_US;
-const SHIFT_US: u64 = 25 * SECOND_US;
+/// Time after which other parts of prompts become the hot ones.
+const HOT_PREFIX_SHIFT_US: u64 = 25 * SECOND_US;
+/// Share of urgent requests that use the hottest part on every level.
 const VIRAL_SHARE: f64 = 0.15;
 const WORKSPACES: usize = 8;
 
-/// Names what floods in.
+/// The kind of load that is generated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Scene {
-    /// Means nothing but the small callers.
+pub enum Scenario {
+    /// Requests of small callers only.
     Alone,
-    /// Means a flood of background work.
+    /// The steady mix and a flood of background requests.
     BackgroundFlood,
-    /// Means the usual mix.
+    /// The steady mix: each rank at a constant share of its capacity.
     Steady,
-    /// Means a flood of urgent work.
+    /// The steady mix and a flood of urgent requests.
     UrgentFlood,
 }
 
-/// Describes a deployment.
+/// Size and load of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Gives the background requests a second that the fleet can take of that kind alone.
+    /// Background requests per second that the fleet can serve if it gets no urgent ones.
     pub background_capacity: f64,
-    /// Gives the blocks that an engine caches.
+    /// Number of blocks that an engine caches.
     pub cache_blocks: usize,
-    /// Gives the engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Gives the blocks of the three levels of a prompt.
-    pub levels: [usize; 3],
-    /// Gives how many prompts there are on each level below the one above.
-    pub fan: [usize; 3],
-    /// Names the deployment.
+    /// Number of blocks on each of the three levels of a prompt.
+    pub level_blocks: [usize; 3],
+    /// Number of different parts on each level for one part of the level above.
+    pub fan_out: [usize; 3],
+    /// Name of the deployment.
     pub name: &'static str,
-    /// Gives the tokens of answers, by rank.
-    pub output: [u32; 2],
-    /// Gives the blocks that the kept-KV store holds.
+    /// Maximum number of tokens of an answer, by rank.
+    pub output_tokens: [u32; 2],
+    /// Number of blocks that the KV store holds.
     pub store_blocks: usize,
-    /// Gives the tokens of a prompt after its shared part, by rank.
-    pub tail: [u32; 2],
-    /// Gives the value of the workspaces' trade cell.
+    /// Minimum number of tokens of a prompt after its shared part, by rank; up to twice as many are
+    /// drawn.
+    pub tail_tokens: [u32; 2],
+    /// Value of the `trade` cell of the workspaces.
     pub trade: u64,
-    /// Gives the urgent requests a second that the fleet can take of that kind alone.
+    /// Urgent requests per second that the fleet can serve if it gets no background ones.
     pub urgent_capacity: f64,
 }
 
-/// Describes one request.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Gives the time at which its caller sends it.
-    pub at: u64,
-    /// Lists the whole blocks of the prompt.
+    /// Time at which the caller sends the request, in microseconds.
+    pub sent_us: u64,
+    /// Whole blocks of the prompt, in order.
     pub blocks: Rc<[BlockHash]>,
-    /// Names the caller.
+    /// Number of the caller in its workspace.
     pub caller: usize,
-    /// Gives the tokens of the answer.
-    pub output: u32,
-    /// Ranks it.
+    /// Length of the answer in tokens.
+    pub output_tokens: u32,
+    /// Rank of the request.
     pub rank: Rank,
-    /// Tells whether its caller is a small one.
+    /// Whether the caller is a small one, which sends few requests.
     pub small: bool,
-    /// Gives the tokens of the prompt after its last whole block.
-    pub tail: u32,
-    /// Names the workspace.
+    /// Number of prompt tokens after the last whole block.
+    pub tail_tokens: u32,
+    /// Index of the workspace.
     pub workspace: usize,
 }
 
-struct Source<'a> {
+struct Generator<'a> {
     deployment: &'a Deployment,
     requests: Vec<Request>,
     rng: ChaCha8Rng,
     session: u64,
 }
 
-/// Returns the requests of a run in order of time.
-pub fn generate(deployment: &Deployment, scene: Scene, seed: u64) -> Vec<Request> {
-    let mut source = Source {
+/// Returns the requests of a simulation in the order in which they are sent.
+pub fn generate(deployment: &Deployment, scenario: Scenario, seed: u64) -> Vec<Request> {
+    let mut source = Generator {
         deployment,
         requests: Vec::new(),
         rng: ChaCha8Rng::seed_from_u64(seed),
         session: 0,
     };
-    if scene != Scene::Alone {
-        let usual = 0.3;
+    if scenario != Scenario::Alone {
+        let steady_share = 0.3;
         source.poisson(
             Rank::Urgent,
-            deployment.urgent_capacity * usual,
+            deployment.urgent_capacity * steady_share,
             0,
-            LENGTH_US,
+            RUN_LENGTH_US,
         );
         source.poisson(
             Rank::Background,
-            deployment.background_capacity * usual,
+            deployment.background_capacity * steady_share,
             0,
-            LENGTH_US,
+            RUN_LENGTH_US,
         );
     }
-    let flood = match scene {
-        Scene::Alone | Scene::Steady => None,
-        Scene::BackgroundFlood => Some((Rank::Background, deployment.background_capacity)),
-        Scene::UrgentFlood => Some((Rank::Urgent, deployment.urgent_capacity)),
+    let flood = match scenario {
+        Scenario::Alone | Scenario::Steady => None,
+        Scenario::BackgroundFlood => Some((Rank::Background, deployment.background_capacity)),
+        Scenario::UrgentFlood => Some((Rank::Urgent, deployment.urgent_capacity)),
     };
     if let Some((rank, capacity)) = flood {
         source.poisson(rank, capacity * FLOOD_FACTOR, FLOOD_START_US, FLOOD_END_US);
     }
     source.small();
     let mut requests = source.requests;
-    requests.sort_by_key(|request| request.at);
+    requests.sort_by_key(|request| request.sent_us);
     requests
 }
 
-/// Returns the shared part of every prompt.
+/// Returns the shared part of every possible prompt, as blocks.
 pub fn prompts(deployment: &Deployment) -> Vec<Vec<BlockHash>> {
     let mut prompts: Vec<Vec<BlockHash>> = Vec::new();
     for workspace in 0..WORKSPACES {
-        let root = BlockHash::root(&self::workspace(workspace), "m", "v1");
+        let root = BlockHash::root(&self::workspace_name(workspace), "m", "v1");
         let mut level = vec![(root, Vec::new())];
-        for (number, count) in deployment.levels.into_iter().enumerate() {
+        for (number, count) in deployment.level_blocks.into_iter().enumerate() {
             let parts = |(block, blocks): &(BlockHash, Vec<BlockHash>)| {
                 let extend = |part| extend(*block, blocks.clone(), number, part, count);
-                (0..deployment.fan[number]).map(extend).collect::<Vec<_>>()
+                (0..deployment.fan_out[number])
+                    .map(extend)
+                    .collect::<Vec<_>>()
             };
             level = level.iter().flat_map(parts).collect();
         }
@@ -147,12 +153,13 @@
 }
 
 /// Returns the name of a workspace.
-pub fn workspace(index: usize) -> String {
+pub fn workspace_name(index: usize) -> String {
     format!("w{index}")
 }
 
-impl Source<'_> {
-    /// Adds requests of large callers at random times; background ones come in sessions.
+impl Generator<'_> {
+    /// Adds requests of large callers as a Poisson process of `rate` requests per second.
+    /// Background requests come in sessions of several turns.
     fn poisson(&mut self, rank: Rank, rate: f64, from: u64, to: u64) {
         let turns = match rank {
             Rank::Background => 3,
@@ -165,7 +172,7 @@
             if at >= to as f64 {
                 return;
             }
-            let workspace = self.skewed(WORKSPACES);
+            let workspace = self.zipf(WORKSPACES);
             let caller = self.rng.random_range(0..4);
             self.session(at as u64, rank, workspace, caller, turns, false);
         }
@@ -175,18 +182,20 @@
     fn small(&mut self) {
         for workspace in 0..WORKSPACES {
             let mut at = self.rng.random_range(0..SECOND_US);
-            while at < LENGTH_US {
+            while at < RUN_LENGTH_US {
                 self.session(at, Rank::Urgent, workspace, 100, 1, true);
                 at += SECOND_US + self.rng.random_range(0..SECOND_US);
             }
             let mut at = self.rng.random_range(0..SECOND_US);
-            while at < LENGTH_US {
+            while at < RUN_LENGTH_US {
                 self.session(at, Rank::Background, workspace, 101, 1, true);
                 at += 5 * SECOND_US + self.rng.random_range(0..SECOND_US);
             }
         }
     }
 
+    /// Adds the requests of a session: each turn comes 15 seconds after the one before, and its
+    /// prompt extends that of the turn before.
     fn session(
         &mut self,
         at: u64,
@@ -199,53 +208,54 @@
         self.session += 1;
         let session = self.session;
         let mut blocks = self.prompt(at, rank, workspace);
-        let mut extra = self.deployment.tail[rank.index()];
+        let mut extra = self.deployment.tail_tokens[rank.index()];
         extra += self.rng.random_range(0..extra);
         let mut at = at;
-        let mut tail = 0;
+        let mut tail_tokens = 0;
         for turn in 0..turns {
-            tail += extra;
-            while tail >= BLOCK_TOKENS {
+            tail_tokens += extra;
+            while tail_tokens >= BLOCK_TOKENS {
                 let parent = *blocks.last().expect("a prompt has blocks");
                 blocks.push(
                     parent.child(&[session.to_le_bytes(), u64::from(turn).to_le_bytes()].concat()),
                 );
-                tail -= BLOCK_TOKENS;
+                tail_tokens -= BLOCK_TOKENS;
             }
-            let most = self.deployment.output[rank.index()];
-            let output = self.rng.random_range(most / 2..=most);
+            let most = self.deployment.output_tokens[rank.index()];
+            let output_tokens = self.rng.random_range(most / 2..=most);
             self.requests.push(Request {
-                at,
+                sent_us: at,
                 blocks: blocks.clone().into(),
                 caller,
-                output,
+                output_tokens,
                 rank,
                 small,
-                tail,
+                tail_tokens,
                 workspace,
             });
-            extra += output;
+            extra += output_tokens;
             at += 15 * SECOND_US;
         }
     }
 
-    /// Returns the shared part of a prompt; which parts are hot shifts with time.
+    /// Returns the shared part of a random prompt. Which parts are hot shifts with time.
     fn prompt(&mut self, at: u64, rank: Rank, workspace: usize) -> Vec<BlockHash> {
-        let mut block = BlockHash::root(&self::workspace(workspace), "m", "v1");
+        let mut block = BlockHash::root(&self::workspace_name(workspace), "m", "v1");
         let mut blocks = Vec::new();
-        let shift = (at / SHIFT_US) as usize;
+        let shift = (at / HOT_PREFIX_SHIFT_US) as usize;
         let viral = rank == Rank::Urgent && self.rng.random::<f64>() < VIRAL_SHARE;
-        for (level, count) in self.deployment.levels.into_iter().enumerate() {
-            let fan = self.deployment.fan[level];
-            let choice = if viral { 0 } else { self.skewed(fan) };
-            let part = (choice + shift * (level + 1)) % fan;
+        for (level, count) in self.deployment.level_blocks.into_iter().enumerate() {
+            let fan_out = self.deployment.fan_out[level];
+            let choice = if viral { 0 } else { self.zipf(fan_out) };
+            let part = (choice + shift * (level + 1)) % fan_out;
             (block, blocks) = extend(block, blocks, level, part, count);
         }
         blocks
     }
 
-    /// Returns a number below `bound`; small ones come more often.
-    fn skewed(&mut self, bound: usize) -> usize {
+    /// Returns a random number below `bound`, by Zipf's law: `n` is drawn in proportion to
+    /// `1 / (n + 1)`.
+    fn zipf(&mut self, bound: usize) -> usize {
         let weights: Vec<f64> = (1..=bound).map(|at| 1.0 / at as f64).collect();
         let mut point = self.rng.random::<f64>() * weights.iter().sum::<f64>();
         for (at, weight) in weights.iter().enumerate() {
@@ -258,7 +268,7 @@
     }
 }
 
-/// Adds the blocks of one level of a prompt.
+/// Appends the blocks of one level of a prompt to `blocks`, and returns the last one with them.
 fn extend(
     parent: BlockHash,
     mut blocks: Vec<BlockHash>,
