--- a/crates/coordination/examples/measure/broker_cost.rs
+++ b/crates/coordination/examples/measure/broker_cost.rs
@@ -79,7 +79,7 @@
     };
     let mut router = Router::new(Policy::Broker, &deployment);
     for index in 0..deployment.engines {
-        let report = Engine::new(1).sample(0);
+        let report = Engine::new(1).load_report(0);
         let upstream = router::engine_name(index);
         router.step(0, Event::Load { report, upstream });
     }
--- a/crates/coordination/examples/measure/engine.rs
+++ b/crates/coordination/examples/measure/engine.rs
@@ -16,6 +16,7 @@
 /// Most prompt tokens that one step computes, for all requests together.
 const CHUNK_TOKENS: u32 = 512;
 const IMPORT_US_PER_BLOCK: u64 = 25_000;
+/// Length of a step in which nothing is computed because all requests wait for imports.
 const IMPORT_POLL_INTERVAL_US: u64 = 5_000;
 const IMPORT_START_US: u64 = 20_000;
 const PREFILL_TOKENS_PER_S: u32 = 17_000;
@@ -58,6 +59,7 @@
     pub tail_tokens: u32,
 }
 
+/// What a running request does.
 enum Stage {
     Decode,
     Import { until: u64 },
@@ -136,7 +138,7 @@
     }
 
     /// Returns a load report that says it is `age_ms` old.
-    pub fn sample(&self, age_ms: u64) -> LoadReport {
+    pub fn load_report(&self, age_ms: u64) -> LoadReport {
         let running = self
             .running
             .iter()
@@ -187,10 +189,9 @@
                 outcomes.push((Outcome::Finished(run.job.serial), run.origins));
             }
         }
-        let over = |run: &RunningJob| {
-            matches!(run.stage, Stage::Decode) && run.produced >= run.job.output_tokens
-        };
-        self.running.retain(|run| !over(run));
+        let done =
+            |r: &RunningJob| matches!(r.stage, Stage::Decode) && r.produced >= r.job.output_tokens;
+        self.running.retain(|run| !done(run));
         if computed == 0 && decoding == 0 && outcomes.is_empty() {
             return (IMPORT_POLL_INTERVAL_US, outcomes);
         }
@@ -239,17 +240,17 @@
         }
     }
 
-    /// Prefills up to [`CHUNK_TOKENS`] tokens by rank and order of start, and returns how many.
+    /// Prefills up to [`CHUNK_TOKENS`] tokens by rank and order of arrival, and returns how many.
     fn prefill(&mut self) -> u32 {
         let mut budget = CHUNK_TOKENS;
         let mut order: Vec<usize> = (0..self.running.len()).collect();
-        let key = |at: &usize| {
-            let run = &self.running[*at];
+        let key = |index: &usize| {
+            let run = &self.running[*index];
             (std::cmp::Reverse(run.job.rank), run.arrival)
         };
         order.sort_by_key(key);
-        for at in order {
-            let run = &mut self.running[at];
+        for index in order {
+            let run = &mut self.running[index];
             let Stage::Prefill { started } = &mut run.stage else {
                 continue;
             };
@@ -266,17 +267,17 @@
                 self.cache
                     .touch(&run.job.blocks[..cached_prefix_len as usize]);
             }
-            let before = run.prefill_tokens_left;
+            let left_before = run.prefill_tokens_left;
             run.prefill_tokens_left -= run.prefill_tokens_left.min(budget);
-            budget -= before - run.prefill_tokens_left;
+            budget -= left_before - run.prefill_tokens_left;
             let missing = run
                 .prefill_tokens_left
                 .saturating_sub(run.job.tail_tokens)
                 .div_ceil(BLOCK_TOKENS);
-            let known = before
+            let missing_before = left_before
                 .saturating_sub(run.job.tail_tokens)
                 .div_ceil(BLOCK_TOKENS);
-            if missing < known {
+            if missing < missing_before {
                 self.cache
                     .touch(&run.job.blocks[..(blocks - missing) as usize]);
             }
--- a/crates/coordination/examples/measure/simulation.rs
+++ b/crates/coordination/examples/measure/simulation.rs
@@ -521,7 +521,7 @@
     fn sample_loads(&mut self) {
         for engine in 0..self.engines.len() {
             if self.engines[engine].alive {
-                let report = self.engines[engine].sample(LOAD_REPORT_DELAY_US / 1_000);
+                let report = self.engines[engine].load_report(LOAD_REPORT_DELAY_US / 1_000);
                 self.schedule_after(LOAD_REPORT_DELAY_US, SimEvent::ReportLoad(engine, report));
             }
         }
