--- a/crates/fakes/src/engine.rs
+++ b/crates/fakes/src/engine.rs
@@ -110,13 +110,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Offset at which the next stream is disconnected, once.
-    pub cut_at: Option<u64>,
+    pub disconnect_at: Option<u64>,
     /// Delay until cache events become visible to readers.
     pub event_delay: Duration,
     /// Age of the load reports that the engine returns.
     pub load_report_delay: Duration,
     /// Leaves out every cache event whose number is a multiple of this; zero leaves out none.
-    pub drop_every_nth: u64,
+    pub drop_every_nth_event: u64,
     /// Whether answers lack the piece with the finish reason and the end marker.
     pub omit_end: bool,
     /// Text that crashes the engine when it starts to run a prompt containing it.
@@ -229,8 +229,8 @@
     pub fn update_faults(&self, change: impl FnOnce(&mut Faults)) {
         let mut inner = self.shared.lock();
         change(&mut inner.faults);
-        let every = inner.faults.drop_every_nth;
-        inner.cache.drop_every_nth(every);
+        let every = inner.faults.drop_every_nth_event;
+        inner.cache.drop_every_nth_event(every);
     }
 
     /// Pauses all work and responses of the engine, or resumes them.
@@ -333,8 +333,8 @@
             let mut inner = self.lock();
             inner.counts.crashes += 1;
             inner.cache = PrefixCache::new(self.options.cache_blocks, self.options.max_events);
-            let every = inner.faults.drop_every_nth;
-            inner.cache.drop_every_nth(every);
+            let every = inner.faults.drop_every_nth_event;
+            inner.cache.drop_every_nth_event(every);
             inner.state.incarnation.0 += 1;
             inner.state.fence = 0;
             inner.state.loading = None;
--- a/crates/fakes/src/engine_stream.rs
+++ b/crates/fakes/src/engine_stream.rs
@@ -238,7 +238,7 @@
         let offset = self.next_offset;
         let mut inner = self.shared.lock();
         let faults = &mut inner.faults;
-        if faults.cut_at.take_if(|at| *at == offset).is_some() {
+        if faults.disconnect_at.take_if(|at| *at == offset).is_some() {
             return Step::Disconnect;
         }
         if faults.stall_at.take_if(|at| *at == offset).is_some() {
--- a/crates/fakes/src/prefix_cache.rs
+++ b/crates/fakes/src/prefix_cache.rs
@@ -19,7 +19,7 @@
     capacity: usize,
     /// Logical time, which advances with each use of a block.
     clock: u64,
-    drop_every_nth: u64,
+    drop_every_nth_event: u64,
     log: VecDeque<LogEntry>,
     max_events: usize,
     /// Number of the last change.
@@ -59,7 +59,7 @@
             blocks: HashMap::new(),
             capacity,
             clock: 0,
-            drop_every_nth: 0,
+            drop_every_nth_event: 0,
             log: VecDeque::new(),
             max_events,
             seq: 0,
@@ -95,8 +95,8 @@
     }
 
     /// Leaves events whose number is a multiple of `every` out of the log; zero leaves out none.
-    pub fn drop_every_nth(&mut self, every: u64) {
-        self.drop_every_nth = every;
+    pub fn drop_every_nth_event(&mut self, every: u64) {
+        self.drop_every_nth_event = every;
     }
 
     /// Returns how many leading blocks of `chain` are cached, and marks them as recently used.
@@ -150,7 +150,7 @@
 
     fn append(&mut self, change: Change, block: Option<BlockHash>, parent: Option<BlockHash>) {
         self.seq += 1;
-        if self.drop_every_nth > 0 && self.seq.is_multiple_of(self.drop_every_nth) {
+        if self.drop_every_nth_event > 0 && self.seq.is_multiple_of(self.drop_every_nth_event) {
             return;
         }
         let event = Event {
--- a/crates/fakes/tests/contract.rs
+++ b/crates/fakes/tests/contract.rs
@@ -90,7 +90,7 @@
         Case {
             ended: false,
             error: Some("cut"),
-            fault: |f| f.cut_at = Some(2),
+            fault: |f| f.disconnect_at = Some(2),
             offsets: &[0, 1],
         },
         Case {
@@ -150,9 +150,9 @@
 async fn workspaces_share_no_cached_block_under_equal_hashes() {
     let (engine, client) = start_engine(|_| {}).await;
     read_answer(&client, &request("w", PROMPT)).await;
-    let mut foreign = request("w", PROMPT);
-    foreign.cache.salt = "x".to_owned();
-    read_answer(&client, &foreign).await;
+    let mut other_workspace = request("w", PROMPT);
+    other_workspace.cache.salt = "x".to_owned();
+    read_answer(&client, &other_workspace).await;
     assert_eq!(engine.counts().prefilled_blocks, 4);
 }
 
@@ -201,7 +201,7 @@
 #[tokio::test]
 async fn lost_events_leave_a_gap_in_the_numbers() {
     let (engine, client) = start_engine(|_| {}).await;
-    engine.update_faults(|f| f.drop_every_nth = 2);
+    engine.update_faults(|f| f.drop_every_nth_event = 2);
     let prompt = "0123456789abcdef".repeat(3);
     read_answer(&client, &request("w", &prompt)).await;
     let events = client.events(0).await.unwrap();
--- a/crates/fakes/tests/stores.rs
+++ b/crates/fakes/tests/stores.rs
@@ -93,9 +93,9 @@
     };
     client.export(&transfer).await.unwrap();
     client.import(&transfer).await.unwrap();
-    let mut foreign = own.clone();
-    foreign.cache.salt = "x".to_owned();
-    read_answer(&client, &foreign).await;
+    let mut other_workspace = own.clone();
+    other_workspace.cache.salt = "x".to_owned();
+    read_answer(&client, &other_workspace).await;
     assert_eq!(engine.counts().prefilled_blocks, 4);
 }
 
--- a/crates/hibiscushoist/src/demo.rs
+++ b/crates/hibiscushoist/src/demo.rs
@@ -77,7 +77,7 @@
     async fn broken_stream_is_resumed(&mut self) -> Result<(), Report<Error>> {
         self.title("A stream breaks and is resumed")?;
         for engine in &self.bench.engines {
-            engine.update_faults(|faults| faults.cut_at = Some(10));
+            engine.update_faults(|faults| faults.disconnect_at = Some(10));
         }
         let prompt = text("print run", 2);
         let reply = self.bench.complete(MAPS, &prompt, 40).await?;
--- a/crates/hibiscushoistd/tests/streams.rs
+++ b/crates/hibiscushoistd/tests/streams.rs
@@ -64,7 +64,7 @@
     }
     let cases = [
         Case {
-            fault: |f| f.cut_at = Some(5),
+            fault: |f| f.disconnect_at = Some(5),
             outcomes: &[("cut", 0), ("cut", 5), ("done", 5)],
         },
         Case {
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn an_answer_is_never_continued_with_other_weights() {
     let mut bench = bench(1).await;
-    bench.engines[0].update_faults(|f| f.cut_at = Some(5));
+    bench.engines[0].update_faults(|f| f.disconnect_at = Some(5));
     let version = "v2".to_owned();
     let options = Options {
         version,
@@ -226,7 +226,7 @@
 async fn many_answers_at_once_are_never_crossed() {
     let bench = bench(2).await;
     for round in 0..4 {
-        bench.engines[round % 2].update_faults(|f| f.cut_at = Some(3));
+        bench.engines[round % 2].update_faults(|f| f.disconnect_at = Some(3));
         let asks = (0..12).map(|i| {
             let prompt = format!("cove {round} {i}");
             let ask = json!({"max_tokens": 8, "model": "m", "prompt": prompt, "stream": true});
