--- a/.ci/awk/imports.awk
+++ b/.ci/awk/imports.awk
@@ -1,8 +1,9 @@
-# Prints imports that stand in the wrong group: std, outside crates, ours.
+# Prints imports that are out of order or not in their group: std, outside crates, ours. Modules of tests
+# that are imported by name belong to ours.
 
 function group(path) {
     if (path ~ /^(std|core|alloc)(::|;)/) return 1
-    if (path ~ /^(clockwork|coordination|crate|fakes|hibiscushoist|hibiscushoistd|platform|protocol|self|standin|state|super|support|transport)(::|;)/) return 3
+    if (path ~ /^(coordination|crate|fakes|hibiscushoist|hibiscushoistd|platform|protocol|raft_sim|self|state|super|support|transport|upstream_fixtures)(::|;)/) return 3
     return 2
 }
 
--- a/.ci/awk/variants.awk
+++ b/.ci/awk/variants.awk
@@ -1,6 +1,6 @@
-# Prints variants of enums that do not stand in alphabetical order.
+# Prints variants of enums that are not in alphabetical order.
 #
-# An enum whose variants carry numbers stands in the order of its numbers.
+# An enum whose variants have numbers is in the order of its numbers.
 
 FNR == 1 { inside = 0 }
 
