--- a/crates/coordination/examples/measure/broker_cost.rs
+++ b/crates/coordination/examples/measure/broker_cost.rs
@@ -21,7 +21,7 @@
 use state::rank::Rank;
 use state::time;
 
-const DECISIONS: u128 = 20_000;
+const PLACEMENTS: u128 = 20_000;
 /// Number of blocks in a batch of changes.
 const BATCH_LEN: u64 = 100;
 const REPLACED_ENTRIES: u64 = 2_000_000;
@@ -33,7 +33,7 @@
 
 /// Fills a cache directory to the target size, replaces a part of its entries, and prints the time
 /// and memory that it took.
-pub fn directory() {
+pub fn measure_directory() {
     let mut directory = CacheDirectory::default();
     let mut sequences = vec![0; UPSTREAMS as usize];
     let start = Instant::now();
@@ -51,9 +51,9 @@
             let removed = Change::Removed(block(n));
             [removed, Change::Stored(block(ENTRIES + BATCH_LEN + n))]
         });
-        let one = Instant::now();
+        let batch_start = Instant::now();
         apply(&mut directory, &mut sequences, at, pairs.collect());
-        slowest = slowest.max(one.elapsed().as_micros());
+        slowest = slowest.max(batch_start.elapsed().as_micros());
     }
     let churned = start.elapsed();
     println!("\n### Directory of one broker at the target\n");
@@ -72,7 +72,7 @@
 
 /// Places requests on as many upstreams as a broker owns at the target size, and prints the time
 /// per request.
-pub fn decisions(small: &Deployment) {
+pub fn measure_placements(small: &Deployment) {
     let deployment = Deployment {
         engines: UPSTREAMS as usize,
         ..*small
@@ -85,10 +85,10 @@
     }
     let root = BlockHash::root("w0", "m", "v1");
     let start = Instant::now();
-    for serial in 0..DECISIONS {
+    for serial in 0..PLACEMENTS {
         let now = serial as u64 * 1_000;
         let prompt = root.child(&(serial % 500).to_le_bytes());
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             block_tokens: 4_096,
             blocks: prompt.chain(&[7; PROMPT_BLOCKS], 1),
             deadline_ms: 10_000,
@@ -100,7 +100,7 @@
             workspace: "w0".to_owned(),
             ..PlacementRequest::default()
         };
-        router.step(now, Event::Arrival(ask));
+        router.step(now, Event::Arrival(request));
         let placement_id = PlacementId(serial);
         for progress in [Progress::FirstToken, Progress::Finished] {
             router.step(
@@ -112,7 +112,7 @@
             );
         }
     }
-    let each = start.elapsed().as_nanos() as f64 / DECISIONS as f64 / 1_000.0;
+    let each = start.elapsed().as_nanos() as f64 / PLACEMENTS as f64 / 1_000.0;
     println!(
         "\nOne request over {UPSTREAMS} upstreams and {PROMPT_BLOCKS} blocks: {each:.1} µs for its"
     );
--- a/crates/coordination/examples/measure/main.rs
+++ b/crates/coordination/examples/measure/main.rs
@@ -55,8 +55,8 @@
     let seed = std::env::args().nth(1).and_then(|text| text.parse().ok());
     let seed = seed.unwrap_or(DEFAULT_SEED);
     let policy_filter = std::env::args().nth(2);
-    broker_cost::directory();
-    broker_cost::decisions(&DEPLOYMENTS[0]);
+    broker_cost::measure_directory();
+    broker_cost::measure_placements(&DEPLOYMENTS[0]);
     println!("\nSeed {seed}, blocks of {BLOCK_TOKENS} tokens.");
     for deployment in &DEPLOYMENTS {
         let idle_p95_ms = idle_p95_ms(deployment, seed);
--- a/crates/coordination/examples/measure/metrics.rs
+++ b/crates/coordination/examples/measure/metrics.rs
@@ -85,6 +85,7 @@
         metrics
     }
 
+    /// Computes the metrics of the prefix cache from requests that got a first token.
     fn add_prefix_metrics(&mut self, all: &[(&Request, &Record)]) {
         let block = u64::from(BLOCK_TOKENS);
         let [
@@ -116,6 +117,7 @@
         self.wasted_percent = percent(wasted, computed);
     }
 
+    /// Computes the share of background requests in the work of completed requests.
     fn add_work_share(&mut self, all: &[(&Request, &Record)]) {
         let mut work = [0; 2];
         for (request, record) in all.iter().filter(|(_, record)| record.complete) {
@@ -132,6 +134,7 @@
     part as f64 * PERCENT / whole.max(1) as f64
 }
 
+/// Returns the metrics of some requests, which are in the order in which they were sent.
 fn rank_metrics(requests: &[(&Request, &Record)]) -> RankMetrics {
     let time_to_first_token =
         |(request, record): &(&Request, &Record)| Some(record.first_token_us? - request.sent_us);
--- a/crates/coordination/examples/measure/router.rs
+++ b/crates/coordination/examples/measure/router.rs
@@ -23,6 +23,7 @@
 use state::table::Table;
 use state::time::Instant;
 
+/// Number of upper levels of a prompt that the sticky hash covers.
 const STICKY_HASH_LEVELS: usize = 2;
 const WORKSPACES: usize = 8;
 
@@ -104,7 +105,7 @@
     deadline_ms: u64,
     excluded: Vec<String>,
 ) -> PlacementRequest {
-    let whole = request.blocks.len() as u32 * workload::BLOCK_TOKENS;
+    let tokens_in_blocks = request.blocks.len() as u32 * workload::BLOCK_TOKENS;
     PlacementRequest {
         block_tokens: workload::BLOCK_TOKENS,
         blocks: request.blocks.to_vec(),
@@ -115,7 +116,7 @@
         kind: request.rank.to_string(),
         model: "m".to_owned(),
         output_tokens: request.output_tokens,
-        prompt_tokens: whole + request.tail_tokens,
+        prompt_tokens: tokens_in_blocks + request.tail_tokens,
         rank: request.rank,
         placement_id,
         version: None,
@@ -133,6 +134,7 @@
     block.child(&engine.to_le_bytes()).0
 }
 
+/// Returns the table of a deployment: its engines, a KV store, workspaces and kinds of requests.
 fn table(deployment: &Deployment) -> Table {
     let mut table = Table::default();
     for index in 0..deployment.engines {
@@ -165,6 +167,7 @@
     table
 }
 
+/// Adds a row to the table.
 fn add(table: &mut Table, sheet: Sheet, row: String, cells: &[(Column, &str)]) {
     let cells = cells.iter().map(|(c, text)| (*c, (*text).to_owned()));
     let edit = Edit {
--- a/crates/coordination/examples/measure/simulation.rs
+++ b/crates/coordination/examples/measure/simulation.rs
@@ -185,7 +185,7 @@
             store_sequence: 0,
             pending: HashMap::new(),
         };
-        for blocks in workload::prompts(deployment) {
+        for blocks in workload::shared_prefixes(deployment) {
             run.store.touch(&blocks);
         }
         run.schedule_initial_events();
@@ -193,6 +193,7 @@
         run
     }
 
+    /// Schedules the periodic events, the crash and the arrivals.
     fn schedule_initial_events(&mut self) {
         for event in [
             SimEvent::PublishEvents,
@@ -208,6 +209,7 @@
         }
     }
 
+    /// Handles events in the order of their time, until 5 seconds after the last arrivals.
     fn run_events(&mut self) {
         while let Some(Reverse(ScheduledEvent(due_us, _, event))) = self.schedule.pop() {
             if due_us > workload::RUN_LENGTH_US + 5 * workload::SECOND_US {
@@ -218,6 +220,7 @@
         }
     }
 
+    /// Schedules an event `delay` microseconds from now.
     fn schedule_after(&mut self, delay: u64, event: SimEvent) {
         self.last_serial += 1;
         let entry = ScheduledEvent(self.now_us + delay, self.last_serial, event);
@@ -278,6 +281,7 @@
         }
     }
 
+    /// Records the best prefix that any cache has, starts the deadline, and routes the request.
     fn handle_arrival(&mut self, index: usize) {
         let blocks = Rc::clone(&self.requests[index].blocks);
         let held = self
@@ -294,6 +298,7 @@
         self.send(index);
     }
 
+    /// Routes a request: asks the broker for a placement, or sends it to the engine of a baseline.
     fn send(&mut self, index: usize) {
         let request = self.requests[index].clone();
         self.last_serial += 1;
@@ -322,6 +327,7 @@
         }
     }
 
+    /// Passes an event to the broker and carries out its effects.
     fn send_to_broker(&mut self, event: Event) {
         for effect in self.router.step(self.now_us, event) {
             match effect {
@@ -340,6 +346,7 @@
         }
     }
 
+    /// Sends a request to the engine that the broker granted.
     fn place(&mut self, grant: &Grant) {
         let index = self.pending[&grant.placement_id];
         let engine_index = |name: &str| name[1..].parse::<usize>().ok();
@@ -359,6 +366,7 @@
         );
     }
 
+    /// Queues a request at an engine; a crashed engine fails it.
     fn push(&mut self, index: usize, engine: usize, import: u32, rank: Rank) {
         if !self.engines[engine].alive {
             self.handle_failure(index, engine);
@@ -376,6 +384,7 @@
         self.start_step(engine);
     }
 
+    /// Starts a step of an engine that has requests and is between steps.
     fn start_step(&mut self, engine: usize) {
         let target = &mut self.engines[engine];
         if target.stepping || !target.alive || target.is_idle() {
@@ -388,6 +397,7 @@
         self.schedule_after(length, SimEvent::StepEnd(engine, incarnation));
     }
 
+    /// Records the progress that a step brought, and starts the next one.
     fn end_step(&mut self, engine: usize, incarnation: u64) {
         if self.engines[engine].incarnation != incarnation {
             return;
@@ -421,6 +431,7 @@
         self.start_step(engine);
     }
 
+    /// Ends the placement of a request and reports its progress to the broker.
     fn end_request(&mut self, index: usize, progress: Progress) {
         if let Some((engine, placement_id)) = self.placements.remove(&index) {
             self.router.in_flight[engine] -= 1.min(self.router.in_flight[engine]);
@@ -431,6 +442,7 @@
         }
     }
 
+    /// Retries a request at another engine, unless its first token was delivered or it is too late.
     fn handle_failure(&mut self, index: usize, engine: usize) {
         self.end_request(index, Progress::Failed);
         if self.records[index].first_token_us.is_some()
@@ -446,6 +458,7 @@
         self.send(index);
     }
 
+    /// Cancels a request that has no first token at its deadline.
     fn expire(&mut self, index: usize) {
         if self.records[index].first_token_us.is_some() {
             return;
@@ -456,6 +469,7 @@
         }
     }
 
+    /// Crashes an engine, which restarts later, and fails its requests.
     fn crash(&mut self, engine: usize) {
         self.outcomes.remove(&engine);
         self.engines[engine].stepping = false;
@@ -469,6 +483,7 @@
         self.schedule_after(RESTART_TIME_US, SimEvent::Recover(engine));
     }
 
+    /// Sends the cache events of the engines, of which some batches get lost, and of the KV store.
     fn publish(&mut self) {
         for engine in 0..self.engines.len() {
             let changes = self.engines[engine].cache.publish();
@@ -503,6 +518,7 @@
         self.schedule_after(PUBLISH_INTERVAL_US, SimEvent::PublishEvents);
     }
 
+    /// Sends a snapshot of the cache of an engine to the broker.
     fn resync(&mut self, upstream: &str) {
         let Some(engine) = upstream[1..].parse::<usize>().ok() else {
             return;
@@ -518,6 +534,7 @@
         }
     }
 
+    /// Sends a load report of each engine to the broker.
     fn sample_loads(&mut self) {
         for engine in 0..self.engines.len() {
             if self.engines[engine].alive {
--- a/crates/coordination/examples/measure/workload.rs
+++ b/crates/coordination/examples/measure/workload.rs
@@ -97,7 +97,7 @@
 
 /// Returns the requests of a simulation in the order in which they are sent.
 pub fn generate(deployment: &Deployment, scenario: Scenario, seed: u64) -> Vec<Request> {
-    let mut source = Generator {
+    let mut generator = Generator {
         deployment,
         requests: Vec::new(),
         rng: ChaCha8Rng::seed_from_u64(seed),
@@ -105,13 +105,13 @@
     };
     if scenario != Scenario::Alone {
         let steady_share = 0.3;
-        source.poisson(
+        generator.poisson(
             Rank::Urgent,
             deployment.urgent_capacity * steady_share,
             0,
             RUN_LENGTH_US,
         );
-        source.poisson(
+        generator.poisson(
             Rank::Background,
             deployment.background_capacity * steady_share,
             0,
@@ -124,23 +124,23 @@
         Scenario::UrgentFlood => Some((Rank::Urgent, deployment.urgent_capacity)),
     };
     if let Some((rank, capacity)) = flood {
-        source.poisson(rank, capacity * FLOOD_FACTOR, FLOOD_START_US, FLOOD_END_US);
+        generator.poisson(rank, capacity * FLOOD_FACTOR, FLOOD_START_US, FLOOD_END_US);
     }
-    source.small();
-    let mut requests = source.requests;
+    generator.small_callers();
+    let mut requests = generator.requests;
     requests.sort_by_key(|request| request.sent_us);
     requests
 }
 
 /// Returns the shared part of every possible prompt, as blocks.
-pub fn prompts(deployment: &Deployment) -> Vec<Vec<BlockHash>> {
+pub fn shared_prefixes(deployment: &Deployment) -> Vec<Vec<BlockHash>> {
     let mut prompts: Vec<Vec<BlockHash>> = Vec::new();
     for workspace in 0..WORKSPACES {
         let root = BlockHash::root(&self::workspace_name(workspace), "m", "v1");
         let mut level = vec![(root, Vec::new())];
         for (number, count) in deployment.level_blocks.into_iter().enumerate() {
             let parts = |(block, blocks): &(BlockHash, Vec<BlockHash>)| {
-                let extend = |part| extend(*block, blocks.clone(), number, part, count);
+                let extend = |part| append_level(*block, blocks.clone(), number, part, count);
                 (0..deployment.fan_out[number])
                     .map(extend)
                     .collect::<Vec<_>>()
@@ -179,7 +179,7 @@
     }
 
     /// Adds the requests of small callers, one of each rank in each workspace.
-    fn small(&mut self) {
+    fn small_callers(&mut self) {
         for workspace in 0..WORKSPACES {
             let mut at = self.rng.random_range(0..SECOND_US);
             while at < RUN_LENGTH_US {
@@ -207,7 +207,7 @@
     ) {
         self.session += 1;
         let session = self.session;
-        let mut blocks = self.prompt(at, rank, workspace);
+        let mut blocks = self.random_shared_prefix(at, rank, workspace);
         let mut extra = self.deployment.tail_tokens[rank.index()];
         extra += self.rng.random_range(0..extra);
         let mut at = at;
@@ -239,7 +239,7 @@
     }
 
     /// Returns the shared part of a random prompt. Which parts are hot shifts with time.
-    fn prompt(&mut self, at: u64, rank: Rank, workspace: usize) -> Vec<BlockHash> {
+    fn random_shared_prefix(&mut self, at: u64, rank: Rank, workspace: usize) -> Vec<BlockHash> {
         let mut block = BlockHash::root(&self::workspace_name(workspace), "m", "v1");
         let mut blocks = Vec::new();
         let shift = (at / HOT_PREFIX_SHIFT_US) as usize;
@@ -248,7 +248,7 @@
             let fan_out = self.deployment.fan_out[level];
             let choice = if viral { 0 } else { self.zipf(fan_out) };
             let part = (choice + shift * (level + 1)) % fan_out;
-            (block, blocks) = extend(block, blocks, level, part, count);
+            (block, blocks) = append_level(block, blocks, level, part, count);
         }
         blocks
     }
@@ -269,7 +269,7 @@
 }
 
 /// Appends the blocks of one level of a prompt to `blocks`, and returns the last one with them.
-fn extend(
+fn append_level(
     parent: BlockHash,
     mut blocks: Vec<BlockHash>,
     level: usize,
