--- a/crates/hibiscushoistd/tests/routed.rs
+++ b/crates/hibiscushoistd/tests/routed.rs
@@ -1,6 +1,6 @@
 //! Routed requests through a real daemon to fake upstreams and back, all in one process.
 
-mod fakes;
+mod routed_upstream;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use tokio::runtime::Runtime;
 use tokio::sync::oneshot;
 
+use crate::routed_upstream::Mode;
+use crate::routed_upstream::Upstream;
 use coordination::drain;
-use fakes::Mode;
-use fakes::Upstream;
 use hibiscushoistd::daemon::Daemon;
 use hibiscushoistd::settings::Settings;
 use transport::log;
@@ -76,7 +76,7 @@
 async fn start_upstreams(service: &str) -> (Upstream, Upstream, SocketAddr) {
     let first = Upstream::start("i-1", service).await;
     let second = Upstream::start("i-2", service).await;
-    let list = fakes::start_list(vec![first.clone(), second.clone()]).await;
+    let list = routed_upstream::start_list(vec![first.clone(), second.clone()]).await;
     (first, second, list)
 }
 
@@ -458,7 +458,7 @@
         working.set_mode(Mode::Working);
         for index in 0..6 {
             let answer = setup.send(&format!("/stream/{id}/{index}"), "k1").await;
-            let whole = fakes::events(0, fakes::EVENTS);
+            let whole = routed_upstream::events(0, routed_upstream::EVENTS);
             assert_eq!(answer.body.expect("the stream ends"), whole);
         }
     }
@@ -478,7 +478,7 @@
     let setup = Setup::start_ready("engines").await;
     setup.set_both(Mode::Stalling);
     let answer = setup.send("/once/x", "k1").await;
-    let whole = fakes::events(0, fakes::EVENTS);
+    let whole = routed_upstream::events(0, routed_upstream::EVENTS);
     assert_eq!(answer.body.expect("the stream ends"), whole);
     assert_eq!(setup.arrivals("/once/x"), 1);
 }
@@ -488,7 +488,7 @@
     let setup = Setup::start_ready("engines").await;
     setup.set_both(Mode::Stalling);
     let answer = setup.send("/stream/x", "k1").await;
-    let whole = fakes::events(0, fakes::EVENTS);
+    let whole = routed_upstream::events(0, routed_upstream::EVENTS);
     assert_eq!(answer.body.expect("the stream ends"), whole);
     assert_eq!(setup.arrivals("/stream/x"), 2);
 }
@@ -593,7 +593,7 @@
     let refused = endless().await;
     assert!(refused.headers.contains_key("retry-after"));
     let short = setup.send("/stream/x", "k1").await;
-    let whole = fakes::events(0, fakes::EVENTS);
+    let whole = routed_upstream::events(0, routed_upstream::EVENTS);
     assert_eq!(short.body.expect("the stream ends"), whole);
     force.send(()).unwrap();
     assert_eq!(drained.await.unwrap(), drain::Outcome::Forced);
