--- a/.ci/awk/imports.awk
+++ b/.ci/awk/imports.awk
@@ -3,7 +3,7 @@
 
 function group(path) {
     if (path ~ /^(std|core|alloc)(::|;)/) return 1
-    if (path ~ /^(coordination|crate|fakes|hibiscushoist|hibiscushoistd|platform|protocol|raft_sim|self|state|super|support|transport|upstream_fixtures)(::|;)/) return 3
+    if (path ~ /^(coordination|crate|fakes|hibiscushoist|hibiscushoistd|platform|protocol|raft_sim|routed_upstream|self|state|super|support|transport|upstream_fixtures)(::|;)/) return 3
     return 2
 }
 
